--- a/packages/coordination/src/core/placement/absence.ts
+++ b/packages/coordination/src/core/placement/absence.ts
@@ -1,30 +1,30 @@
 /**
- * When may the silence of a key's holders be taken as proof that the request never ran? Records
- * live in memory only, so "absent" proves nothing where the copies may have died with their
- * holders, or may lie with members that this process could not see.
+ * Decides when the absence of a record at the holders of its key proves that the request never ran.
+ * Records are kept in memory only, so absence proves nothing if the copies may have been lost with
+ * their holders, or may be stored at members that this process could not reach.
  */
 import { createPlacement, holdersOf } from './placement.js';
 import type { PlacementMember } from './placement.js';
 import type { Hash32 } from '../hashing/hashing.js';
 
-/** A member together with the times, on this process's clock, that bear on what it can prove. */
+/** A member with its contact times on the clock of this process. */
 export interface ContactHistory extends PlacementMember {
   /** When this process first saw this incarnation of the member. */
   readonly seenSinceMs: number;
-  /** Latest time at which it was out of contact (suspect, dead), or null for never. */
+  /** Latest time at which the member was suspect or dead, or null if it never was. */
   readonly lastAwayAtMs: number | null;
-  /** Whether it takes requests; a lone entry cannot dispatch without a sidecar at its side. */
+  /** Whether the member is an entry, which accepts requests but needs a sidecar to run them. */
   readonly isEntry: boolean;
 }
 
-/** What the judgement rests on. */
+/** Evidence on which the decision is based. */
 export interface AbsenceEvidence {
   readonly keyText: string;
-  /** Members that answered, in this request, that they know nothing of the key. */
+  /** Members that replied, for the current request, that they have no record of the key. */
   readonly absentAt: readonly string[];
-  /** Live members and those that died within the horizon. */
+  /** Members that are alive, and members that died within the horizon. */
   readonly contacts: readonly ContactHistory[];
-  /** How long an earlier submission of the key can still matter. */
+  /** How long an earlier submission of the key can still have an effect. */
   readonly horizonMs: number;
   readonly nowMs: number;
   readonly hash32: Hash32;
@@ -34,18 +34,28 @@
 export type ProvesAbsence = (evidence: AbsenceEvidence) => boolean;
 
 /**
- * Guards against a false "not-run". Failure: both holders of an earlier submission died at once, or
- * that submission was accepted across a partition by holders of the other side; it shows as a
- * caller that is told "not-run" of a request that a target did run. The guard holds because (1)
- * both members that held the key over the whole horizon must have answered, and (2) another side of
- * a partition needs an entry and a sidecar, and both would have been out of contact from here.
+ * Prevents a false "not-run". Both holders of an earlier submission may have died at once, or
+ * holders on the other side of a partition may have accepted it; a request that a target did run
+ * would then be reported as not run. Absence is therefore proven only if (1) both members that have
+ * held the key over the whole horizon replied, and (2) no entry together with a sidecar was out of
+ * contact within the horizon, since the other side of a partition needs both to run a request.
  */
 export const provesAbsence: ProvesAbsence = (evidence) => {
-  const since = evidence.nowMs - evidence.horizonMs;
-  const old = evidence.contacts.filter((contact) => contact.seenSinceMs <= since);
-  const formerHolders = holdersOf(createPlacement(old, evidence.hash32), evidence.keyText);
+  const horizonStartMs = evidence.nowMs - evidence.horizonMs;
+  const establishedMembers = evidence.contacts.filter(
+    (contact) => contact.seenSinceMs <= horizonStartMs,
+  );
+  const formerHolders = holdersOf(
+    createPlacement(establishedMembers, evidence.hash32),
+    evidence.keyText,
+  );
   if (formerHolders.length < 2) return false;
   if (!formerHolders.every((holder) => evidence.absentAt.includes(holder))) return false;
-  const away = evidence.contacts.filter((contact) => (contact.lastAwayAtMs ?? -Infinity) > since);
-  return !(away.some((contact) => contact.isEntry) && away.some((contact) => !contact.isEntry));
+  const outOfContact = evidence.contacts.filter(
+    (contact) => (contact.lastAwayAtMs ?? -Infinity) > horizonStartMs,
+  );
+  return !(
+    outOfContact.some((contact) => contact.isEntry) &&
+    outOfContact.some((contact) => !contact.isEntry)
+  );
 };
--- a/packages/coordination/src/core/placement/placement.ts
+++ b/packages/coordination/src/core/placement/placement.ts
@@ -1,30 +1,30 @@
 /**
- * Placement by rendezvous hashing: every process that knows the same members finds the same places
- * for a key without asking anybody. A change of one member moves only that member's keys. Member
- * hashes are computed once per membership, so that a choice costs one integer mix per member.
+ * Places keys on members by rendezvous hashing: processes with the same membership view choose the
+ * same members for a key without coordination, and a change of one member moves only its keys.
+ * Member hashes are computed once per membership, so a lookup costs one integer mix per member.
  */
 import type { Hash32 } from '../hashing/hashing.js';
 
-/** What placement needs to know of a member. */
+/** A member on which keys can be placed. */
 export interface PlacementMember {
   readonly id: string;
   readonly failureDomain: string;
 }
 
-/** Members with their hashes, prepared for many choices. */
+/** Members with precomputed hashes, for repeated lookups. */
 export interface Placement {
   readonly members: readonly PlacementMember[];
   readonly memberHashes: Uint32Array;
-  /** Number of each member's failure domain, for comparison without strings. */
+  /** Number of the failure domain of each member, which avoids string comparisons. */
   readonly domainNumbers: Uint32Array;
   readonly hash32: Hash32;
 }
 
-/** Multipliers of the 32-bit finalizer of MurmurHash3, which spreads each input bit over all. */
+/** Multipliers of the 32-bit finalizer of MurmurHash3, in which each input bit affects all bits. */
 const MIX_FIRST = 0x85ebca6b;
 const MIX_SECOND = 0xc2b2ae35;
 
-/** Prepares choices among `members`; the order in which they are given does not matter. */
+/** Creates the placement of a membership; the order of `members` does not matter. */
 export function createPlacement(members: readonly PlacementMember[], hash32: Hash32): Placement {
   const sorted = [...members].sort((left, right) => (left.id < right.id ? -1 : 1));
   const domains = new Map<string, number>();
@@ -40,8 +40,9 @@
 }
 
 /**
- * The members that hold a key: the best, and the best of another failure domain. With one domain
- * the second best of it; with one member that one alone; with none an empty list.
+ * Returns the ids of the members that hold a key: the one with the highest score, and the one with
+ * the highest score in another failure domain. If there is only one domain, the second is the
+ * runner-up in it. Returns a single id if there is one member, and an empty list if there is none.
  */
 export function holdersOf(placement: Placement, key: string): readonly string[] {
   const { memberHashes, domainNumbers } = placement;
@@ -53,15 +54,15 @@
   for (let index = 0; index < memberHashes.length; index += 1) {
     const score = mix((memberHashes[index] ?? 0) ^ keyHash);
     if (score <= secondScore) continue;
-    const isElsewhere = domainNumbers[index] !== domainNumbers[first];
+    const isOtherDomain = domainNumbers[index] !== domainNumbers[first];
     if (score > firstScore) {
-      if (first !== -1 && isElsewhere) {
+      if (first !== -1 && isOtherDomain) {
         second = first;
         secondScore = firstScore;
       }
       first = index;
       firstScore = score;
-    } else if (isElsewhere) {
+    } else if (isOtherDomain) {
       second = index;
       secondScore = score;
     }
@@ -71,7 +72,7 @@
   return [first, second].flatMap((index) => memberIdAt(placement, index));
 }
 
-/** The holders of a key as if some members were not there. */
+/** Returns the holders of a key as if the members in `without` did not exist. */
 export function holdersWithout(
   placement: Placement,
   key: string,
@@ -81,7 +82,7 @@
   return holdersOf(createPlacement(members, placement.hash32), key);
 }
 
-/** The member that batches the claims of a key's shard; any member may stand in for a dead one. */
+/** Returns the member that batches the claims of a key's shard; any member can replace it. */
 export function claimAggregatorOf(
   placement: Placement,
   key: string,
@@ -91,7 +92,7 @@
   return bestFor(placement, `claims/${String(shard)}`, () => true);
 }
 
-/** The member of a failure domain that runs the one watch of this kind there. */
+/** Returns the member of a failure domain that runs its only watch of this kind. */
 export function watcherOf(
   placement: Placement,
   kind: string,
@@ -102,7 +103,7 @@
   return bestFor(placement, `watch/${kind}/${failureDomain}`, inDomain);
 }
 
-/** The member that owns a key, among all that are known. */
+/** Returns the owner of a key among all known members. */
 export function ownerOf(placement: Placement, key: string): string | null {
   return bestFor(placement, key, () => true);
 }
--- a/packages/coordination/src/core/placement/renewals.ts
+++ b/packages/coordination/src/core/placement/renewals.ts
@@ -1,22 +1,22 @@
 /**
- * What a change of members means for what they hold: who came or began another incarnation, and may
- * have lost its memory, and whether keys have other places now. News that changes neither, such as a
- * suspicion, moves nothing.
+ * Tracks the members on which keys are placed, and detects which of them joined or have a new
+ * incarnation and may have lost their memory. Membership updates that change neither the members
+ * nor their incarnations, such as a suspicion, move no keys.
  */
 
-/** A member that keys are placed at. */
+/** A member on which keys are placed. */
 export interface PlacedMember {
   readonly id: string;
   readonly incarnation: number;
 }
 
-/** The members that keys were placed at, by id. */
+/** The incarnations of the members on which keys were last placed, by member id. */
 export type PlacedMembers = Map<string, number>;
 
 /**
- * Takes the present members; returns those whose memory may be new, or null when keys have the places
- * that they had. A member that contradicted a suspicion counts as new too: its incarnation does not
- * tell that from a start.
+ * Updates `known` to the present members and returns the ids of those that may have lost their
+ * memory, or null if all keys stay where they are. A member that refuted a suspicion counts as new
+ * too, because its higher incarnation cannot be distinguished from a restart.
  */
 export function takePlaced(
   known: PlacedMembers,
--- a/packages/coordination/test/core/placement/placement.test.ts
+++ b/packages/coordination/test/core/placement/placement.test.ts
@@ -1,4 +1,4 @@
-/** Placement: two domains where there are two, little movement, and what absence proves. */
+/** Tests for the placement of keys on members, and for the proof that a request never ran. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { provesAbsence } from '../../../src/core/placement/absence.js';
@@ -24,7 +24,7 @@
 
 describe('placement', () => {
   describe('holders', () => {
-    it('lie in two failure domains, whatever the order of the members', () => {
+    it('are in two failure domains, independent of the order of the members', () => {
       const all = members(11, 3);
       const placement = createPlacement(all, hash32);
       const reversed = createPlacement([...all].reverse(), hash32);
@@ -36,31 +36,31 @@
       }
     });
 
-    it('are two members of a single domain, one lone member, or none', () => {
+    it('are two members of a single domain, a single member, or none', () => {
       assert.equal(new Set(holdersOf(createPlacement(members(3, 1), hash32), 'key')).size, 2);
       assert.equal(holdersOf(createPlacement(members(1, 1), hash32), 'key').length, 1);
       assert.deepEqual(holdersOf(createPlacement([], hash32), 'key'), []);
     });
 
-    it('move only for the keys of a member that leaves', () => {
+    it('change only for the keys of a member that leaves', () => {
       const all = members(20, 3);
       const placement = createPlacement(all, hash32);
-      const gone = all[4]?.id ?? '';
+      const leavingId = all[4]?.id ?? '';
       for (const key of KEYS) {
         const before = holdersOf(placement, key);
-        if (before.includes(gone)) continue;
-        assert.deepEqual(holdersWithout(placement, key, new Set([gone])), before);
+        if (before.includes(leavingId)) continue;
+        assert.deepEqual(holdersWithout(placement, key, new Set([leavingId])), before);
       }
     });
 
-    it('spread over the members', () => {
+    it('are spread over all members', () => {
       const placement = createPlacement(members(10, 5), hash32);
       const used = new Set(KEYS.flatMap((key) => holdersOf(placement, key)));
       assert.equal(used.size, 10);
     });
   });
 
-  describe('single choices', () => {
+  describe('single-member lookups', () => {
     it('find a claim aggregator and a watcher inside the domain', () => {
       const placement = createPlacement(members(9, 3), hash32);
       assert.notEqual(claimAggregatorOf(placement, 'key', 16), null);
@@ -88,26 +88,26 @@
       hash32,
     };
 
-    it('is proved by both holders of the whole horizon', () => {
+    it('is proven by both members that held the key over the whole horizon', () => {
       assert.equal(provesAbsence(evidence), true);
       assert.equal(provesAbsence({ ...evidence, absentAt: holders.slice(1) }), false);
     });
 
-    it('is not proved by members that came within the horizon', () => {
-      const young = contacts.map((contact) =>
+    it('is not proven by members that joined within the horizon', () => {
+      const recentlyJoined = contacts.map((contact) =>
         holders.includes(contact.id) ? { ...contact, seenSinceMs: 4500 } : contact,
       );
-      assert.equal(provesAbsence({ ...evidence, contacts: young }), false);
+      assert.equal(provesAbsence({ ...evidence, contacts: recentlyJoined }), false);
     });
 
-    // Story: the fleet was parted, and an entry on the other side accepted the key with holders of
-    // its side. After the heal a resend reaches this side, whose holders know nothing. "Not-run"
-    // would be false. Cause: silence of holders that were not asked then.
-    it('is not proved while an entry and a sidecar were out of contact', () => {
-      const away = contacts.map((contact, index) =>
+    // During a partition, an entry on the other side accepted the key with holders of its side.
+    // After the partition heals, a retry reaches this side, whose holders have no record. Reporting
+    // "not-run" would be false, because these holders never received the request.
+    it('is not proven if an entry and a sidecar were out of contact', () => {
+      const outOfContact = contacts.map((contact, index) =>
         index === 0 || index === 5 ? { ...contact, lastAwayAtMs: 4800 } : contact,
       );
-      assert.equal(provesAbsence({ ...evidence, contacts: away }), false);
+      assert.equal(provesAbsence({ ...evidence, contacts: outOfContact }), false);
     });
   });
 });
