--- a/packages/coordination/src/core/records/failures.ts
+++ b/packages/coordination/src/core/records/failures.ts
@@ -1,9 +1,9 @@
 /**
- * Failures of requests, as callers and operators meet them.
+ * Defines the request failures that are reported to callers and operators.
  */
 import { defineFailure } from '../failures/failure.js';
 
-/** The same key came with another body. */
+/** A request has the same idempotency key as an earlier one, but another body. */
 export const KEY_CONFLICT = defineFailure({
   name: 'idempotency-key-conflict',
   title: 'The idempotency key is in use for another request',
@@ -12,7 +12,7 @@
   hint: 'Send a new request with a new key, or the same body with this key.',
 });
 
-/** The holders of the key have no room for another record. */
+/** The holders of the key are full and accept no new record. */
 export const RECORDS_FULL = defineFailure({
   name: 'request-records-full',
   title: 'No room to record the request',
@@ -21,7 +21,7 @@
   hint: 'Come back after the stated time; shorten answerRetentionMs or add members if it lasts.',
 });
 
-/** The holders of the key could not be reached in time. */
+/** The holders of the key did not reply in time. */
 export const RECORDS_UNREACHABLE = defineFailure({
   name: 'request-records-unreachable',
   title: 'The request could not be recorded',
@@ -30,7 +30,7 @@
   hint: 'Send it again with the same key after the stated time.',
 });
 
-/** The policy does not admit the request now. */
+/** Admission control rejected the request. */
 export const NOT_ADMITTED = defineFailure({
   name: 'request-not-admitted',
   title: 'The request is not admitted now',
@@ -39,7 +39,7 @@
   hint: 'Come back after the stated time.',
 });
 
-/** The deadline passed. */
+/** The deadline passed before an answer was available. */
 export const DEADLINE_PASSED = defineFailure({
   name: 'request-deadline-passed',
   title: 'The deadline of the request has passed',
@@ -47,7 +47,7 @@
   hint: 'Send it again with the same key: an answer that is still made is kept and handed out.',
 });
 
-/** Every try that the budget allows has failed. */
+/** All attempts that the retry budget allows have failed. */
 export const TRIES_SPENT = defineFailure({
   name: 'request-tries-spent',
   title: 'The request was given up',
@@ -56,7 +56,7 @@
   hint: 'Send it again with the same key after the stated time.',
 });
 
-/** A call that may not be repeated was dispatched and nobody knows its end. */
+/** A call that must not be repeated was dispatched, and its outcome is unknown. */
 export const OUTCOME_UNKNOWN = defineFailure({
   name: 'request-outcome-unknown',
   title: 'The call may have run',
@@ -65,7 +65,7 @@
   hint: 'Ask the service itself whether it ran. The same key is not run again.',
 });
 
-/** The claim that a call which may not be repeated needs could not be taken. */
+/** The claim that is required for a call that must not be repeated could not be acquired. */
 export const CLAIM_UNAVAILABLE = defineFailure({
   name: 'claim-unavailable',
   title: 'The call cannot be claimed now',
@@ -74,7 +74,7 @@
   hint: 'Come back after the stated time; this sending of it ran nothing.',
 });
 
-/** A rerun made another text than the caller had begun to read. */
+/** A rerun produced another text than the part that the caller has already received. */
 export const ANSWER_DIVERGED = defineFailure({
   name: 'answer-diverged',
   title: 'The answer changed and cannot be continued',
@@ -83,7 +83,7 @@
   hint: 'Discard the part that was read and send the request again without Last-Event-ID.',
 });
 
-/** The content crashed targets and is not run any more. */
+/** The content has crashed targets, so it is no longer run. */
 export const POISONED_REQUEST = defineFailure({
   name: 'poisoned-request',
   title: 'The request crashes the targets that run it',
--- a/packages/coordination/src/core/records/holder.ts
+++ b/packages/coordination/src/core/records/holder.ts
@@ -1,7 +1,7 @@
 /**
- * A member's table of the records that it holds. Calls are idempotent, so that a lost answer is met
- * by asking again. The table never drops an unfinished record before its time: when it is full, new
- * requests are refused, and room is kept back for the ends of those that were accepted.
+ * Stores the replicas of request records that a member holds. Calls are idempotent, so a caller can
+ * resend one whose reply was lost. The table never evicts an unfinished record before it expires:
+ * when it is full it refuses new requests, and it reserves room for the results of accepted ones.
  */
 import { RecordPhase } from '../model/outcome.js';
 import { HolderCallKind, HolderReplyKind } from './messages.js';
@@ -16,67 +16,68 @@
 } from './record.js';
 import type { Answer, Attempt, RequestRecord } from './record.js';
 
-/** Decides whether an answer may become the record's answer. */
+/** Decides whether an answer may be stored as the answer of a record. */
 export type AcceptsFinish = (record: RequestRecord, answer: Answer) => boolean;
-/** Decides whether an attempt may be noted after the one that its entry knows of. */
+/** Decides whether an attempt may be noted after the previous attempt that its entry names. */
 export type AcceptsNote = (
   record: RequestRecord,
   attempt: Attempt,
   previousId: string | null,
 ) => boolean;
 
-/** Bounds and guards of a table. */
+/** Limits of a holder's table, and the rules by which it accepts changes. */
 export interface HolderOptions {
   readonly maxRecords: number;
-  /** Estimated size of all records together. */
+  /** Limit of the estimated total size of all records. */
   readonly maxBytes: number;
-  /** Part of `maxBytes` beyond which no new record is created: the rest is for ends. */
+  /** Fraction of `maxBytes` that new records may fill; the rest is reserved for results. */
   readonly createBytesRatio: number;
   readonly answerRetentionMs: number;
-  /** Time after the deadline for which an unfinished record is kept. */
+  /** How long an unfinished record is kept after its deadline. */
   readonly unfinishedRetentionMs: number;
-  /** What a caller is told to wait when the table is full. */
+  /** Retry delay that is returned to a caller when the table is full. */
   readonly fullRetryAfterMs: number;
-  /** Records looked at for expiry in one tick. */
+  /** Number of records checked for expiry per tick. */
   readonly sweepPerTick: number;
   readonly acceptsFinish: AcceptsFinish;
   readonly acceptsNote: AcceptsNote;
 }
 
-/** A record with this member's own times for it. */
+/** A stored record with its times on this member's clock. */
 export interface HeldRecord {
   record: RequestRecord;
-  /** When `record` was stored; its answer's age is counted from then. */
+  /** When `record` was stored; the age of its answer is counted from this time. */
   storedAtMs: number;
   deadlineAtMs: number;
   expiresAtMs: number;
   sizeBytes: number;
-  /** Other holders that acknowledged a copy of `record`; null for none. A new record starts anew. */
+  /** Other holders that acknowledged this version of `record`; null for none. Reset on change. */
   acknowledgedBy: Set<string> | null;
 }
 
-/** The table. */
+/** The records of a holder. */
 export interface HolderState {
   readonly startedAtMs: number;
   readonly records: Map<string, HeldRecord>;
   totalBytes: number;
-  /** Keys still to be looked at in the present sweep. */
+  /** Keys that the current expiry sweep has not checked yet. */
   sweep: string[];
 }
 
-/** A reply before the member's own uptime is added. */
+/** A reply to which the uptime of the member has not been added yet. */
 type UntimedReply = Omit<HolderReply, 'upForMs'>;
 
-/** Estimated bytes of a record beside its tokens: keys, hashes, two attempts. */
+/** Estimated size of a record without its tokens: keys, hashes and two attempts. */
 const RECORD_BASE_BYTES = 600;
 const ATTEMPT_BYTES = 300;
-/** Estimated bytes of one short string in an array. */
+/** Estimated overhead of a short string in an array. */
 const TOKEN_BASE_BYTES = 24;
 
 /**
- * Guards against two answers to one request. Failure: a target that was paused finishes after its
- * attempt was replaced; it shows as a resend that gets another text than was sent. The guard holds
- * because the later attempt was noted here before it was dispatched.
+ * Accepts an answer unless a later attempt has replaced the one that produced it. Without this
+ * rule, a target that was paused and finishes after its attempt was replaced would store a second
+ * answer, and a retry would return another text than the caller received. The later attempt is
+ * known here because an attempt is noted at the holders before it is dispatched.
  */
 export const acceptsFinish: AcceptsFinish = (record, answer) => {
   const current = currentAttempt(record);
@@ -89,9 +90,10 @@
 }
 
 /**
- * Guards against two attempts at once. Failure: two entries that hold the same key both see the
- * first attempt fail; it shows as double work and two texts. The guard holds because each names the
- * attempt that it follows, and a holder lets only one follow.
+ * Accepts an attempt only if it directly follows the current one. Without this rule, two entries
+ * that serve the same key and both see an attempt fail would each start another one, which doubles
+ * the work and produces two texts. Each note names the previous attempt, and a holder accepts only
+ * one successor of it.
  */
 export const acceptsNote: AcceptsNote = (record, attempt, previousId) => {
   const current = currentAttempt(record);
@@ -99,12 +101,12 @@
   return current.id === previousId && compareAttempts(current, attempt) < 0;
 };
 
-/** The empty table of a member that has just started. */
+/** Creates the empty table of a member that starts at `startedAtMs`. */
 export function createHolder(startedAtMs: number): HolderState {
   return { startedAtMs, records: new Map(), totalBytes: 0, sweep: [] };
 }
 
-/** Answers a call at `nowMs`. */
+/** Handles a call to the holder and returns the reply. */
 export function handleHolderCall(
   state: HolderState,
   call: HolderCall,
@@ -139,19 +141,19 @@
   }
 }
 
-/** The record as it is sent at `nowMs`: with the time that is left by this member's clock. */
+/** Returns the record as sent at `nowMs`, with the remaining time on this member's clock. */
 export function recordAt(held: HeldRecord, nowMs: number): RequestRecord {
-  const answer = agedAnswer(held, nowMs);
+  const answer = answerAt(held, nowMs);
   return { ...held.record, answer, remainingMs: Math.max(0, held.deadlineAtMs - nowMs) };
 }
 
-function agedAnswer(held: HeldRecord, nowMs: number): Answer | null {
+function answerAt(held: HeldRecord, nowMs: number): Answer | null {
   const { answer } = held.record;
   if (answer?.committedForMs == null) return answer;
   return { ...answer, committedForMs: answer.committedForMs + nowMs - held.storedAtMs };
 }
 
-/** Drops what has expired, a bounded number of records at a time. */
+/** Removes expired records, checking at most `sweepPerTick` records per call. */
 export function sweepHolder(state: HolderState, options: HolderOptions, nowMs: number): void {
   if (state.sweep.length === 0) state.sweep = [...state.records.keys()];
   for (const keyText of state.sweep.splice(0, options.sweepPerTick)) {
@@ -160,7 +162,7 @@
   }
 }
 
-/** Takes a record out of the table. */
+/** Removes a record from the table. */
 export function dropRecord(state: HolderState, keyText: string): void {
   const held = state.records.get(keyText);
   if (held === undefined) return;
@@ -193,12 +195,12 @@
   const held = state.records.get(call.record.keyText);
   if (held !== undefined && held.record.bodyHash !== call.record.bodyHash) return conflict();
   const base = held === undefined ? call.record : joinRecords(recordAt(held, nowMs), call.record);
-  if (currentAttempt(base)?.id === call.attempt.id) return keep(state, base, options, nowMs);
+  if (currentAttempt(base)?.id === call.attempt.id) return storeIfRoom(state, base, options, nowMs);
   if (isFinal(base) || !options.acceptsNote(base, call.attempt, call.previousId)) {
     return held === undefined ? absent() : standing(held, nowMs);
   }
   const attempts = [...base.attempts, call.attempt].sort(compareAttempts);
-  return keep(state, { ...base, attempts, phase: RecordPhase.Dispatched }, options, nowMs);
+  return storeIfRoom(state, { ...base, attempts, phase: RecordPhase.Dispatched }, options, nowMs);
 }
 
 function finish(
@@ -211,27 +213,27 @@
   const held = state.records.get(call.record.keyText);
   if (held !== undefined && held.record.bodyHash !== call.record.bodyHash) return conflict();
   const base = held === undefined ? call.record : joinRecords(recordAt(held, nowMs), call.record);
-  if (isFinal(base) && !givesWay(base, answer)) {
+  if (isFinal(base) && !canBeReplaced(base, answer)) {
     const isSame =
       answer === null ? base.answer === null : base.answer?.attemptId === answer.attemptId;
-    return isSame ? keep(state, base, options, nowMs) : standingOf(base);
+    return isSame ? storeIfRoom(state, base, options, nowMs) : standingOf(base);
   }
   if (answer !== null && !options.acceptsFinish(base, answer)) return standingOf(base);
   const phase = phaseOf(base.attempts, answer, failure);
-  return keep(state, { ...base, answer, failure, phase }, options, nowMs);
+  return storeIfRoom(state, { ...base, answer, failure, phase }, options, nowMs);
 }
 
 /**
- * An answer that is not committed gives way to a later attempt's. Failure: a holder that was away
- * misses the note of the second attempt and takes the first one's answer; it shows as a caller that
- * reads the second attempt and is cut at its end. Safe, since the holders that took that note refuse
- * the first answer, which can therefore never be committed.
+ * Returns whether an uncommitted answer may be replaced by the answer of a later attempt. Without
+ * this, a holder that was unreachable while the second attempt was noted could accept the first
+ * attempt's answer, and the stream of the second attempt would fail at its end. Replacing is safe:
+ * the holders that accepted the note refuse the first answer, so it can never be committed.
  */
-function givesWay(record: RequestRecord, answer: Answer | null): boolean {
-  const standingAnswer = record.answer;
-  if (answer === null || standingAnswer === null) return false;
-  if (standingAnswer.committedForMs !== null) return false;
-  return answer.attemptNumber > standingAnswer.attemptNumber;
+function canBeReplaced(record: RequestRecord, answer: Answer | null): boolean {
+  const storedAnswer = record.answer;
+  if (answer === null || storedAnswer === null) return false;
+  if (storedAnswer.committedForMs !== null) return false;
+  return answer.attemptNumber > storedAnswer.attemptNumber;
 }
 
 function restore(
@@ -243,7 +245,7 @@
   const held = state.records.get(record.keyText);
   if (held !== undefined && coversRecord(held.record, record)) return done(held, nowMs);
   const joined = held === undefined ? record : joinRecords(recordAt(held, nowMs), record);
-  return keep(state, joined, options, nowMs);
+  return storeIfRoom(state, joined, options, nowMs);
 }
 
 function release(
@@ -260,7 +262,7 @@
   return { kind: HolderReplyKind.Done, record: null, retryAfterMs: 0 };
 }
 
-function keep(
+function storeIfRoom(
   state: HolderState,
   record: RequestRecord,
   options: HolderOptions,
@@ -277,7 +279,7 @@
   maxBytes: number,
 ): boolean {
   const held = state.records.get(record.keyText);
-  const grownBytes = sizeOf(record) - (held?.sizeBytes ?? 0);
+  const grownBytes = estimateSizeBytes(record) - (held?.sizeBytes ?? 0);
   if (held === undefined && state.records.size >= maxRecords) return false;
   return grownBytes <= 0 || state.totalBytes + grownBytes <= maxBytes;
 }
@@ -290,9 +292,9 @@
 ): HeldRecord {
   const before = state.records.get(record.keyText);
   const deadlineAtMs = before?.deadlineAtMs ?? nowMs + record.remainingMs;
-  const endedBefore = before !== undefined && isFinal(before.record);
+  const wasFinal = before !== undefined && isFinal(before.record);
   const expiresAtMs = isFinal(record)
-    ? endedBefore
+    ? wasFinal
       ? before.expiresAtMs
       : nowMs + options.answerRetentionMs
     : deadlineAtMs + options.unfinishedRetentionMs;
@@ -301,7 +303,7 @@
     storedAtMs: nowMs,
     deadlineAtMs,
     expiresAtMs,
-    sizeBytes: sizeOf(record),
+    sizeBytes: estimateSizeBytes(record),
     acknowledgedBy: null,
   };
   state.totalBytes += held.sizeBytes - (before?.sizeBytes ?? 0);
@@ -309,7 +311,7 @@
   return held;
 }
 
-function sizeOf(record: RequestRecord): number {
+function estimateSizeBytes(record: RequestRecord): number {
   let bytes = RECORD_BASE_BYTES + record.attempts.length * ATTEMPT_BYTES;
   for (const token of record.answer?.tokens ?? []) bytes += TOKEN_BASE_BYTES + token.length;
   return bytes + (record.answer?.ending.plain?.bodyBase64.length ?? 0);
--- a/packages/coordination/src/core/records/host-commit.ts
+++ b/packages/coordination/src/core/records/host-commit.ts
@@ -1,22 +1,22 @@
 /**
- * Bringing ends to the holders: the whole answer, or the news of a crash, is sent again until every
- * present holder has it. Only then are readers told the end, so that what a caller was told cannot
- * be replaced by another run's answer.
+ * Commits results to the holders. The complete answer, or the report of a crash, is resent until
+ * every current holder has acknowledged it. The end of an answer is sent to readers only then,
+ * because the answer of another run could otherwise replace the one that a caller received.
  */
 import { RecordPhase } from '../model/outcome.js';
 import { HostEffectKind, HostedPhase } from './host-types.js';
 import type { HostedAttempt } from './host-types.js';
-import { feedAll } from './host-streams.js';
+import { sendToAllReaders } from './host-streams.js';
 import type { HostTurn } from './host-streams.js';
 import { HolderCallKind, HolderReplyKind, StreamFailureReason } from './messages.js';
 import type { HolderCall, HolderReply, StreamFailure } from './messages.js';
 import type { Answer, AnswerEnding, RequestRecord } from './record.js';
 
-/** The answer is whole: starts to bring it to the holders. */
+/** Starts to store a complete answer at the holders. */
 export function commitAnswer(turn: HostTurn, hosted: HostedAttempt, ending: AnswerEnding): void {
   hosted.ending = ending;
   hosted.phase = HostedPhase.Committing;
-  hosted.patienceUntilMs = turn.context.nowMs + turn.context.options.commitPatienceMs;
+  hosted.delegateCommitAtMs = turn.context.nowMs + turn.context.options.commitPatienceMs;
   const answer: Answer = {
     attemptId: hosted.attempt.id,
     attemptNumber: hosted.attempt.number,
@@ -26,53 +26,55 @@
   };
   const { record } = hosted;
   hosted.holderCall = { kind: HolderCallKind.Finish, record, answer, failure: null };
-  hosted.holdersUnderWay.clear();
-  askHolders(turn, hosted);
+  hosted.holderCallsInFlight.clear();
+  callHolders(turn, hosted);
   checkCommitted(turn, hosted);
 }
 
-/** The engine crashed under the attempt: brings the news to the record. */
+/** Stores at the holders that the engine crashed during the attempt. */
 export function commitCrash(turn: HostTurn, hosted: HostedAttempt): void {
   const crashedAttemptIds = [
     ...new Set([...hosted.record.crashedAttemptIds, hosted.attempt.id]),
   ].sort();
   hosted.record = { ...hosted.record, crashedAttemptIds };
   hosted.holderCall = { kind: HolderCallKind.Restore, record: hosted.record };
-  hosted.holdersUnderWay.clear();
-  askHolders(turn, hosted);
+  hosted.holderCallsInFlight.clear();
+  callHolders(turn, hosted);
 }
 
 /**
- * Asks the holders that have not acknowledged. One that was reached and is silent is asked again only
- * when its repeat is due: a whole answer goes with each call, and the repeats would make it slower.
+ * Calls the holders that have not acknowledged. A holder that may still reply is called again only
+ * after `holderRepeatMs`: each call carries a whole answer, and repeats would slow the holder down
+ * further.
  */
-export function askHolders(turn: HostTurn, hosted: HostedAttempt): void {
+export function callHolders(turn: HostTurn, hosted: HostedAttempt): void {
   const { nowMs, options, holdersOfKey } = turn.context;
-  const { holderCall: call, holdersUnderWay } = hosted;
+  const { holderCall: call, holderCallsInFlight } = hosted;
   if (call === null) return;
-  hosted.holdersAskedAtMs = nowMs;
+  hosted.holdersCalledAtMs = nowMs;
   const attemptId = hosted.attempt.id;
   for (const to of holdersOfKey(hosted.record.keyText)) {
     if (hosted.holderReplies.get(to)?.kind === HolderReplyKind.Done) continue;
-    const askedAtMs = holdersUnderWay.get(to) ?? -Infinity;
-    if (nowMs - askedAtMs < options.holderRepeatMs) continue;
-    holdersUnderWay.set(to, nowMs);
+    const calledAtMs = holderCallsInFlight.get(to) ?? -Infinity;
+    if (nowMs - calledAtMs < options.holderRepeatMs) continue;
+    holderCallsInFlight.set(to, nowMs);
     turn.out.push({ kind: HostEffectKind.CallHolder, to, attemptId, call });
   }
 }
 
 /**
- * Guards the commit. Failure: a holder's late reply to the finish counts for the mark that follows it;
- * it shows as an answer that was told and that gives way to another run's. The guard holds because an
- * acknowledged mark shows in the record that comes with the reply.
+ * Returns whether a reply may belong to the current call. A late reply to the finish must not count
+ * as an acknowledgement of the commit mark that follows it, or the end is reported while no holder
+ * has the mark, and the answer of another run may replace it. The two are distinguished by the
+ * record in the reply, which contains the mark once the holder has stored it.
  */
 function isReplyTo(call: HolderCall, reply: HolderReply): boolean {
-  const isMark = call.kind === HolderCallKind.Restore && call.record.answer !== null;
-  if (!isMark || reply.kind !== HolderReplyKind.Done) return true;
+  const isCommitMark = call.kind === HolderCallKind.Restore && call.record.answer !== null;
+  if (!isCommitMark || reply.kind !== HolderReplyKind.Done) return true;
   return reply.record?.answer?.committedForMs !== null;
 }
 
-/** Takes a holder's reply. */
+/** Handles the reply of a holder. */
 export function onHolderReply(
   turn: HostTurn,
   hosted: HostedAttempt,
@@ -82,11 +84,11 @@
   const { holderCall } = hosted;
   if (holderCall === null || !isReplyTo(holderCall, reply)) return;
   hosted.holderReplies.set(from, reply);
-  const otherAnswer = reply.record?.answer?.attemptId ?? hosted.attempt.id;
+  const storedAnswerId = reply.record?.answer?.attemptId ?? hosted.attempt.id;
   const isRefused =
     reply.kind === HolderReplyKind.Standing ||
     reply.kind === HolderReplyKind.Conflict ||
-    otherAnswer !== hosted.attempt.id;
+    storedAnswerId !== hosted.attempt.id;
   if (hosted.phase === HostedPhase.Committing && isRefused) {
     supersede(turn, hosted, reply);
     return;
@@ -94,7 +96,10 @@
   checkCommitted(turn, hosted);
 }
 
-/** Goes on once every holder has acknowledged: first to the commit, then to telling the end. */
+/**
+ * Advances a commit once every holder has acknowledged the current call: the commit mark follows
+ * the answer, and the end of the stream follows the mark.
+ */
 export function checkCommitted(turn: HostTurn, hosted: HostedAttempt): void {
   const { holderCall } = hosted;
   if (holderCall === null) return;
@@ -108,13 +113,13 @@
   hosted.expiresAtMs = turn.context.nowMs + turn.context.options.retentionMs;
   if (hosted.phase !== HostedPhase.Committing) return;
   hosted.phase = HostedPhase.Ended;
-  feedAll(turn, hosted);
+  sendToAllReaders(turn, hosted);
 }
 
 /**
- * Every holder has the answer: marks it as committed before anybody is told. Failure: an answer of
- * a run that was forgotten arrives late at one holder; it shows as a resend that gets that text
- * instead. The guard holds because an answer without the mark gives way to one with it.
+ * Marks an answer that every holder has as committed, before its end is reported. An answer without
+ * the mark is replaced by one with it. Without the mark, the late answer of a run whose record was
+ * lost could replace this one at a holder, and a retry would return that text instead.
  */
 function markCommitted(turn: HostTurn, hosted: HostedAttempt, answer: Answer): void {
   const record: RequestRecord = {
@@ -123,21 +128,22 @@
     answer: { ...answer, committedForMs: 0 },
   };
   hosted.holderReplies.clear();
-  hosted.holdersUnderWay.clear();
+  hosted.holderCallsInFlight.clear();
   hosted.holderCall = { kind: HolderCallKind.Restore, record };
-  askHolders(turn, hosted);
+  callHolders(turn, hosted);
   checkCommitted(turn, hosted);
 }
 
 /**
- * Hands readers the answer when the holders could not be brought to have it for long. Failure: the
- * link from here to one holder is cut one way, while membership reaches it through others; it shows
- * as a caller that waits for the end of a whole text. The entry, whose links are others, commits.
+ * Ends the streams of the readers with the record of an answer that could not be committed from
+ * here in time, so that the entry commits it over its own links. Without this, a caller that has
+ * the whole text would wait for its end while the link to one holder is cut in one direction: the
+ * membership protocol still reaches that holder through other members and reports it as alive.
  */
-export function handOver(turn: HostTurn, hosted: HostedAttempt): void {
+export function delegateCommit(turn: HostTurn, hosted: HostedAttempt): void {
   const { holderCall } = hosted;
   if (hosted.phase !== HostedPhase.Committing || holderCall === null) return;
-  hosted.patienceUntilMs = turn.context.nowMs + turn.context.options.commitPatienceMs;
+  hosted.delegateCommitAtMs = turn.context.nowMs + turn.context.options.commitPatienceMs;
   const record = recordOfCall(holderCall);
   for (const attachId of hosted.attachments.keys()) {
     const failure: StreamFailure = {
@@ -156,7 +162,7 @@
   return { ...call.record, answer: call.answer, phase: RecordPhase.Answered };
 }
 
-/** Another attempt, or another request with this key, stands at a holder. */
+/** Fails an attempt because a holder has another attempt, or another request, for its key. */
 function supersede(turn: HostTurn, hosted: HostedAttempt, reply: HolderReply): void {
   hosted.holderCall = null;
   hosted.phase = HostedPhase.Failed;
@@ -167,5 +173,5 @@
     retryAfterMs: 0,
   };
   hosted.expiresAtMs = turn.context.nowMs + turn.context.options.retentionMs;
-  feedAll(turn, hosted);
+  sendToAllReaders(turn, hosted);
 }
--- a/packages/coordination/src/core/records/host-dispatch.ts
+++ b/packages/coordination/src/core/records/host-dispatch.ts
@@ -1,6 +1,6 @@
 /**
- * Dispatches and attachments at a sidecar: which may begin, which are refused for ever, and when a
- * lone run may start.
+ * Handles dispatches and attachments at a sidecar: decides which attempts may start, which are
+ * refused permanently, and when a lone run may start.
  */
 import { addReader, failHosted, streamFailure } from './host-streams.js';
 import type { HostTurn } from './host-streams.js';
@@ -10,21 +10,22 @@
 import type { AttachMessage, DispatchMessage } from './messages.js';
 import { SequenceVerdict, isOfIncarnation, markSeen } from './sessions.js';
 
-/** Estimated bytes of an attempt beside its tokens. */
+/** Estimated size of an attempt without its tokens. */
 const ATTEMPT_BASE_BYTES = 1200;
 const TOKEN_BASE_BYTES = 24;
 
+/** Hosts a dispatched attempt, attaches to it if it is hosted already, or refuses it. */
 export function onDispatch(turn: HostTurn, attachId: string, message: DispatchMessage): void {
   const { state, context } = turn;
   const { attempt } = message;
-  const known = state.attempts.get(attempt.id);
-  if (known !== undefined) {
-    addReader(turn, known, attachId, attempt.startIndex);
+  const existing = state.attempts.get(attempt.id);
+  if (existing !== undefined) {
+    addReader(turn, existing, attachId, attempt.startIndex);
     return;
   }
   const session = state.sessions.byId.get(attempt.sessionId);
   const verdict = context.options.judgeSequence(session, attempt.sequence);
-  const { reason, mayHaveRun } = refusalOf(turn, verdict, message);
+  const { reason, mayHaveRun } = findRefusal(turn, verdict, message);
   if (reason !== null) {
     const neverRuns = verdict === SequenceVerdict.Fresh;
     if (neverRuns) markSeen(state.sessions, attempt, true, context.options.sessions);
@@ -33,9 +34,9 @@
     return;
   }
   markSeen(state.sessions, attempt, false, context.options.sessions);
-  const hosted = host(turn, message);
+  const hosted = addHosted(turn, message);
   addReader(turn, hosted, attachId, attempt.startIndex);
-  startWhenAlone(turn);
+  startWaitingAttempts(turn);
 }
 
 interface DispatchRefusal {
@@ -43,7 +44,7 @@
   readonly mayHaveRun: boolean;
 }
 
-function refusalOf(
+function findRefusal(
   turn: HostTurn,
   verdict: SequenceVerdict,
   message: DispatchMessage,
@@ -59,7 +60,7 @@
       return { reason: StreamFailureReason.TooOld, mayHaveRun: true };
     case SequenceVerdict.Fresh: {
       const isSuspected = !attempt.alone && state.suspectedHashes.has(message.record.bodyHash);
-      if (state.awaitedLoneRuns.get(attempt.id)?.forbidden === true) {
+      if (state.probedLoneRuns.get(attempt.id)?.forbidden === true) {
         return { reason: StreamFailureReason.Cancelled, mayHaveRun: false };
       }
       if (isSuspected) return { reason: StreamFailureReason.Suspected, mayHaveRun: false };
@@ -67,9 +68,10 @@
         return { reason: StreamFailureReason.Expired, mayHaveRun: false };
       }
       const running = runningAttempts(state);
-      const isBlocked = !attempt.alone && !context.options.leavesAlone(running, false);
-      const isInherited = state.inherited === null || state.inherited.mayBeLone;
-      const isBusy = isBlocked || isInherited || state.draining || isFull(turn, message);
+      const isBlockedByLoneRun = !attempt.alone && !context.options.leavesAlone(running, false);
+      const mayInheritLoneRun = state.inherited === null || state.inherited.mayBeLone;
+      const isBusy =
+        isBlockedByLoneRun || mayInheritLoneRun || state.draining || isFull(turn, message);
       return { reason: isBusy ? StreamFailureReason.Busy : null, mayHaveRun: false };
     }
   }
@@ -78,31 +80,31 @@
 function isFull(turn: HostTurn, message: DispatchMessage): boolean {
   const { state, context } = turn;
   if (state.attempts.size >= context.options.maxAttempts) return true;
-  const newBytes = ATTEMPT_BASE_BYTES + sizeOfTokens(message.continueFrom);
+  const newBytes = ATTEMPT_BASE_BYTES + estimateTokenBytes(message.continueFrom);
   return state.totalBytes + newBytes > context.options.maxBytes;
 }
 
-function host(turn: HostTurn, message: DispatchMessage): HostedAttempt {
+function addHosted(turn: HostTurn, message: DispatchMessage): HostedAttempt {
   const { state, context } = turn;
   const hosted: HostedAttempt = {
     attempt: message.attempt,
     record: message.record,
     payload: message.payload,
     phase: HostedPhase.Waiting,
-    loneRunStands: false,
-    loneRunAskedAtMs: -Infinity,
+    loneRunConfirmed: false,
+    loneRunCheckedAtMs: -Infinity,
     tokens: [...message.continueFrom],
     ending: null,
     failure: null,
     attachments: new Map(),
     holderCall: null,
     holderReplies: new Map(),
-    holdersAskedAtMs: context.nowMs,
-    holdersUnderWay: new Map(),
-    patienceUntilMs: Infinity,
+    holdersCalledAtMs: context.nowMs,
+    holderCallsInFlight: new Map(),
+    delegateCommitAtMs: Infinity,
     deadlineAtMs: context.nowMs + message.remainingMs,
     expiresAtMs: Infinity,
-    sizeBytes: ATTEMPT_BASE_BYTES + sizeOfTokens(message.continueFrom),
+    sizeBytes: ATTEMPT_BASE_BYTES + estimateTokenBytes(message.continueFrom),
   };
   state.attempts.set(message.attempt.id, hosted);
   state.totalBytes += hosted.sizeBytes;
@@ -110,45 +112,50 @@
 }
 
 /**
- * Asks whether the lone run still stands. Failure: its dispatch waited in a paused sidecar while the
- * service's place was given to others and the content was convicted; it shows as a target that is
- * lost to a convicted content. The guard holds because the ledger is read just before the start.
+ * Requests a check whether the ledger still names this lone run, just before it starts. Without the
+ * check, a dispatch that waited in a paused sidecar could start after its slot was given to other
+ * runs and its content was convicted, and crash another target.
  */
 function checkLoneRun(turn: HostTurn, hosted: HostedAttempt): void {
   const { nowMs, options } = turn.context;
-  if (nowMs - hosted.loneRunAskedAtMs < options.holderRetryMs) return;
-  hosted.loneRunAskedAtMs = nowMs;
+  if (nowMs - hosted.loneRunCheckedAtMs < options.holderRetryMs) return;
+  hosted.loneRunCheckedAtMs = nowMs;
   const attemptId = hosted.attempt.id;
   const { service } = hosted.record;
   turn.out.push({ kind: HostEffectKind.CheckLoneRun, attemptId, service });
 }
 
-/** The ledger was read for a lone run that waits. */
-export function onLoneRunChecked(turn: HostTurn, attemptId: string, stands: boolean): void {
+/** Handles the result of the ledger check: starts the waiting lone run, or rejects it. */
+export function onLoneRunChecked(
+  turn: HostTurn,
+  attemptId: string,
+  isCurrentLoneRun: boolean,
+): void {
   const hosted = turn.state.attempts.get(attemptId);
   if (hosted?.phase !== HostedPhase.Waiting) return;
-  if (!stands) {
-    neverRun(turn, hosted, StreamFailureReason.Cancelled);
+  if (!isCurrentLoneRun) {
+    rejectWaiting(turn, hosted, StreamFailureReason.Cancelled);
     return;
   }
-  hosted.loneRunStands = true;
-  startWhenAlone(turn);
-  hosted.loneRunStands = false;
+  hosted.loneRunConfirmed = true;
+  startWaitingAttempts(turn);
+  hosted.loneRunConfirmed = false;
 }
 
 /**
- * Starts what waits: a lone run once nothing else runs, others at once. Streams that a former
- * incarnation left in the engine count as well: they would crash with a suspect unseen.
+ * Starts waiting attempts: a lone run when nothing else runs, and others immediately. Streams that
+ * an earlier incarnation left in the engine count as running too, because the crash of a suspect
+ * would end them without being attributed to it.
  */
-export function startWhenAlone(turn: HostTurn): void {
+export function startWaitingAttempts(turn: HostTurn): void {
   const { state, context } = turn;
   for (const hosted of state.attempts.values()) {
     if (hosted.phase !== HostedPhase.Waiting) continue;
-    const others = runningAttempts(state).filter((other) => other !== hosted);
-    const started = others.filter((other) => other.phase !== HostedPhase.Waiting);
+    const otherAttempts = runningAttempts(state).filter((other) => other !== hosted);
+    const started = otherAttempts.filter((other) => other.phase !== HostedPhase.Waiting);
     if (!context.options.leavesAlone(started, hosted.attempt.alone)) continue;
     if (hosted.attempt.alone && state.inherited?.count !== 0) continue;
-    if (hosted.attempt.alone && !hosted.loneRunStands) {
+    if (hosted.attempt.alone && !hosted.loneRunConfirmed) {
       checkLoneRun(turn, hosted);
       continue;
     }
@@ -163,20 +170,20 @@
 }
 
 /**
- * Joins a stream. One that a former incarnation of this sidecar started may still run in the
- * engine; it is taken up again where all of its text came from that engine.
+ * Attaches a reader to a stream. A stream that an earlier incarnation of this sidecar started may
+ * still run in the engine; it is resumed if its whole text came from that engine.
  */
 export function onAttach(turn: HostTurn, attachId: string, message: AttachMessage): void {
   const { state } = turn;
   const { attempt } = message;
-  const known = state.attempts.get(attempt.id);
-  if (known !== undefined) {
-    addReader(turn, known, attachId, message.fromIndex);
+  const existing = state.attempts.get(attempt.id);
+  if (existing !== undefined) {
+    addReader(turn, existing, attachId, message.fromIndex);
     return;
   }
-  const isFormer = !isOfIncarnation(state.sessions, attempt.sessionId);
+  const isOfEarlierIncarnation = !isOfIncarnation(state.sessions, attempt.sessionId);
   if (
-    !isFormer ||
+    !isOfEarlierIncarnation ||
     attempt.startIndex > 0 ||
     state.attempts.size >= turn.context.options.maxAttempts
   ) {
@@ -187,30 +194,37 @@
   const { record } = message;
   const { remainingMs } = record;
   const dispatch = { attempt, record, continueFrom: [], payload: null, remainingMs };
-  const hosted = host(turn, dispatch);
+  const hosted = addHosted(turn, dispatch);
   hosted.phase = HostedPhase.Resuming;
   addReader(turn, hosted, attachId, message.fromIndex);
   turn.out.push({ kind: HostEffectKind.ResumeEngine, attemptId: attempt.id, fromIndex: 0 });
 }
 
-export function neverRun(turn: HostTurn, hosted: HostedAttempt, reason: StreamFailureReason): void {
+/** Fails an attempt that has not started, and records that its dispatch never runs. */
+export function rejectWaiting(
+  turn: HostTurn,
+  hosted: HostedAttempt,
+  reason: StreamFailureReason,
+): void {
   const { state, context } = turn;
   markSeen(state.sessions, hosted.attempt, true, context.options.sessions);
   failHosted(turn, hosted, reason, false);
 }
 
-export function sizeOfTokens(tokens: readonly string[]): number {
+/** Estimates the memory that tokens take. */
+export function estimateTokenBytes(tokens: readonly string[]): number {
   return tokens.reduce((sum, token) => sum + TOKEN_BASE_BYTES + token.length, 0);
 }
 
+/** Removes an attempt and releases the memory that is accounted to it. */
 export function removeHosted(state: HostState, hosted: HostedAttempt): void {
   state.totalBytes -= hosted.sizeBytes;
   state.attempts.delete(hosted.attempt.id);
 }
 
 /**
- * Attempts that a process which stops must not leave: those that run, those whose answer the holders
- * are being told, and those of which a reader has not had the end.
+ * Returns the attempts that must end before the process may stop: those that are running, those
+ * whose answer is being committed, and those with a reader that has not received the end.
  */
 export function openAttempts(state: HostState): readonly HostedAttempt[] {
   const running = new Set(runningAttempts(state));
@@ -220,16 +234,17 @@
   );
 }
 
-/** Attempts that the engine works on, or will when its turn comes. */
+/** Returns the attempts that run on the engine or wait to be started. */
 export function runningAttempts(state: HostState): readonly HostedAttempt[] {
   const active = [HostedPhase.Waiting, HostedPhase.Resuming, HostedPhase.Running];
   return [...state.attempts.values()].filter((hosted) => active.includes(hosted.phase));
 }
 
 /**
- * Guards innocents and the fleet from a suspect of crashes. Failure: a suspect runs in a batch with
- * others; it shows as innocents that are cut and suspected too. The guard holds because the target
- * runs nothing else beside it, and it waits until nothing else runs.
+ * Returns whether an attempt may start beside the running ones. A lone run, whose content is
+ * suspected of crashing engines, starts only when nothing else runs, and nothing starts beside it.
+ * Otherwise its crash would end other requests in the same batch and make their contents suspects
+ * too.
  */
 export function leavesAlone(running: readonly HostedAttempt[], alone: boolean): boolean {
   if (running.length === 0) return true;
--- a/packages/coordination/src/core/records/host-engine.ts
+++ b/packages/coordination/src/core/records/host-engine.ts
@@ -1,10 +1,16 @@
 /**
- * What a sidecar makes of its engine's signs: tokens, ends, failed streams, crashes.
+ * Handles the events of the engine beside a sidecar: tokens, ends of streams, failed streams and
+ * crashes, as well as reports of content that crashed another engine.
  */
 import { EventKind } from '../events/event.js';
 import { commitAnswer, commitCrash } from './host-commit.js';
-import { removeHosted, runningAttempts, sizeOfTokens, startWhenAlone } from './host-dispatch.js';
-import { failHosted, feedAll } from './host-streams.js';
+import {
+  removeHosted,
+  runningAttempts,
+  estimateTokenBytes,
+  startWaitingAttempts,
+} from './host-dispatch.js';
+import { failHosted, sendToAllReaders } from './host-streams.js';
 import type { HostTurn } from './host-streams.js';
 import { HostEffectKind, HostEventKind, HostedPhase } from './host-types.js';
 import type { HostEvent, HostedAttempt } from './host-types.js';
@@ -21,7 +27,8 @@
   }
 >;
 
-export function onEngine(turn: HostTurn, event: EngineEvent): void {
+/** Handles an event of one engine stream; events of inactive attempts are ignored. */
+export function onEngineEvent(turn: HostTurn, event: EngineEvent): void {
   const hosted = turn.state.attempts.get(event.attemptId);
   if (hosted === undefined) return;
   const isActive = hosted.phase === HostedPhase.Running || hosted.phase === HostedPhase.Resuming;
@@ -33,18 +40,18 @@
     case HostEventKind.EngineEnded:
       becomeRunning(turn, hosted);
       commitAnswer(turn, hosted, event.ending);
-      startWhenAlone(turn);
+      startWaitingAttempts(turn);
       return;
     case HostEventKind.EngineStreamFailed:
       failHosted(turn, hosted, StreamFailureReason.EngineFailed, event.mayHaveRun);
-      startWhenAlone(turn);
+      startWaitingAttempts(turn);
       return;
     case HostEventKind.EngineStreamMissing: {
       const wasResuming = hosted.phase === HostedPhase.Resuming;
       const reason = wasResuming ? StreamFailureReason.Lost : StreamFailureReason.EngineFailed;
       failHosted(turn, hosted, reason, true);
       if (wasResuming) removeHosted(turn.state, hosted);
-      startWhenAlone(turn);
+      startWaitingAttempts(turn);
     }
   }
 }
@@ -69,9 +76,9 @@
     return;
   }
   becomeRunning(turn, hosted);
-  const fresh = tokens.slice(hosted.tokens.length - index);
-  hosted.tokens.push(...fresh);
-  const bytes = sizeOfTokens(fresh);
+  const newTokens = tokens.slice(hosted.tokens.length - index);
+  hosted.tokens.push(...newTokens);
+  const bytes = estimateTokenBytes(newTokens);
   hosted.sizeBytes += bytes;
   turn.state.totalBytes += bytes;
   if (hosted.tokens.length > turn.context.options.maxAnswerTokens) {
@@ -79,22 +86,23 @@
     failHosted(turn, hosted, StreamFailureReason.EngineFailed, true);
     return;
   }
-  feedAll(turn, hosted);
+  sendToAllReaders(turn, hosted);
 }
 
 /**
- * The engine crashed. What counts as running here may have been started after the crash, when the
- * news come late to a sidecar that was paused: it is cancelled, and nothing is started until the
- * engine was asked what it runs. Else a lone run would begin beside it.
+ * Handles a crash of the engine. If the sidecar was paused, the report of the crash arrives late,
+ * and attempts that are recorded as running may have started on the engine after the crash. They
+ * are therefore cancelled, and nothing new starts until the engine has reported what it runs;
+ * otherwise a lone run could start beside them.
  */
-export function onCrash(turn: HostTurn): void {
+export function onEngineCrash(turn: HostTurn): void {
   const { state } = turn;
   state.inherited = null;
   const running = runningAttempts(state).filter((hosted) => hosted.phase === HostedPhase.Running);
   for (const hosted of running) {
     failHosted(turn, hosted, StreamFailureReason.EngineCrashed, true);
     commitCrash(turn, hosted);
-    noteSuspected(turn, hosted.record.bodyHash);
+    addSuspectedHash(turn, hosted.record.bodyHash);
     turn.out.push({ kind: HostEffectKind.CancelEngine, attemptId: hosted.attempt.id });
   }
   const service = running[0]?.record.service;
@@ -113,10 +121,10 @@
     figures: { running: running.length },
   };
   turn.out.push({ kind: HostEffectKind.Emit, event });
-  startWhenAlone(turn);
+  startWaitingAttempts(turn);
 }
 
-function noteSuspected(turn: HostTurn, bodyHash: string): void {
+function addSuspectedHash(turn: HostTurn, bodyHash: string): void {
   const { suspectedHashes } = turn.state;
   suspectedHashes.add(bodyHash);
   const oldest = suspectedHashes.values().next().value;
@@ -124,13 +132,13 @@
   if (isOver && oldest !== undefined) suspectedHashes.delete(oldest);
 }
 
-/** Another target crashed on this content: stops it here before it crashes this one too. */
-export function onSuspicion(turn: HostTurn, bodyHash: string): void {
-  noteSuspected(turn, bodyHash);
+/** Cancels running attempts whose content crashed another target and may crash this one. */
+export function onContentSuspected(turn: HostTurn, bodyHash: string): void {
+  addSuspectedHash(turn, bodyHash);
   for (const hosted of runningAttempts(turn.state)) {
     if (hosted.record.bodyHash !== bodyHash || hosted.attempt.alone) continue;
     turn.out.push({ kind: HostEffectKind.CancelEngine, attemptId: hosted.attempt.id });
     failHosted(turn, hosted, StreamFailureReason.Suspected, true);
   }
-  startWhenAlone(turn);
+  startWaitingAttempts(turn);
 }
--- a/packages/coordination/src/core/records/host-streams.ts
+++ b/packages/coordination/src/core/records/host-streams.ts
@@ -1,19 +1,20 @@
 /**
- * Readers of a hosted attempt: each reads at its own pace from the one copy that is kept.
+ * Streams the tokens of hosted attempts to their readers. All readers of an attempt share one
+ * buffer, and each reads from it at its own pace.
  */
 import { HostEffectKind, HostedPhase } from './host-types.js';
 import type { HostContext, HostEffect, HostState, HostedAttempt } from './host-types.js';
 import { StreamFailureReason } from './messages.js';
 import type { StreamFailure } from './messages.js';
 
-/** One turn of the machine. */
+/** State, inputs and collected effects while one event is handled. */
 export interface HostTurn {
   readonly state: HostState;
   readonly context: HostContext;
   readonly out: HostEffect[];
 }
 
-/** A stream failure of a kind that carries no record. */
+/** Creates a stream failure that carries no record. */
 export function streamFailure(
   reason: StreamFailureReason,
   mayHaveRun: boolean,
@@ -22,7 +23,7 @@
   return { reason, mayHaveRun, record: null, retryAfterMs };
 }
 
-/** Lets a connection read an attempt from a token index on. */
+/** Adds a reader that receives the tokens of an attempt from `fromIndex` on. */
 export function addReader(
   turn: HostTurn,
   hosted: HostedAttempt,
@@ -32,11 +33,11 @@
   hosted.attachments.set(attachId, { nextIndex: fromIndex, paused: false });
   if (hosted.phase === HostedPhase.Resuming) return;
   turn.out.push({ kind: HostEffectKind.OpenStream, attachId });
-  feedReader(turn, hosted, attachId);
+  sendToReader(turn, hosted, attachId);
 }
 
-/** Sends a reader what it has not had, and the end when there is one. */
-export function feedReader(turn: HostTurn, hosted: HostedAttempt, attachId: string): void {
+/** Sends a reader the tokens that it lacks, then the end or failure of the stream if known. */
+export function sendToReader(turn: HostTurn, hosted: HostedAttempt, attachId: string): void {
   const reader = hosted.attachments.get(attachId);
   if (reader === undefined || reader.paused) return;
   if (reader.nextIndex < hosted.tokens.length) {
@@ -56,20 +57,20 @@
   }
 }
 
-/** Sends every reader what is new. */
-export function feedAll(turn: HostTurn, hosted: HostedAttempt): void {
-  for (const attachId of [...hosted.attachments.keys()]) feedReader(turn, hosted, attachId);
+/** Sends pending tokens to all readers of an attempt. */
+export function sendToAllReaders(turn: HostTurn, hosted: HostedAttempt): void {
+  for (const attachId of [...hosted.attachments.keys()]) sendToReader(turn, hosted, attachId);
 }
 
-/** Finds the attempt that a connection reads. */
-export function attemptOfReader(state: HostState, attachId: string): HostedAttempt | undefined {
+/** Finds the attempt that a connection reads from. */
+export function findAttemptByReader(state: HostState, attachId: string): HostedAttempt | undefined {
   for (const hosted of state.attempts.values()) {
     if (hosted.attachments.has(attachId)) return hosted;
   }
   return undefined;
 }
 
-/** Ends an attempt without an answer; what it made is kept for its readers. */
+/** Marks an attempt as failed; its tokens are kept for its readers. */
 export function failHosted(
   turn: HostTurn,
   hosted: HostedAttempt,
@@ -79,5 +80,5 @@
   hosted.phase = HostedPhase.Failed;
   hosted.failure = streamFailure(reason, mayHaveRun);
   hosted.expiresAtMs = turn.context.nowMs + turn.context.options.retentionMs;
-  feedAll(turn, hosted);
+  sendToAllReaders(turn, hosted);
 }
--- a/packages/coordination/src/core/records/host-types.ts
+++ b/packages/coordination/src/core/records/host-types.ts
@@ -1,6 +1,6 @@
 /**
- * Types of the attempt machine of a sidecar: it hosts the attempts that run on its target, keeps
- * their answers while they are made, and sees to it that the holders get them.
+ * Types of the state machine with which a sidecar hosts the attempts that run on its target,
+ * buffers their answers, and stores them at the holders.
  */
 import type { UnstampedEvent } from '../events/event.js';
 import type {
@@ -14,67 +14,67 @@
 import type { AnswerEnding, Attempt, RequestRecord } from './record.js';
 import type { JudgeSequence, SessionOptions, SessionsState } from './sessions.js';
 
-/** The life of a hosted attempt. */
+/** Lifecycle phase of a hosted attempt. */
 export enum HostedPhase {
-  /** Alone, and something else still runs. */
+  /** Not started yet; a lone run waits until nothing else runs on the target. */
   Waiting = 'waiting',
-  /** Asking the engine for a stream of before this sidecar's start. */
+  /** Reattaching to an engine stream that an earlier incarnation of the sidecar started. */
   Resuming = 'resuming',
   Running = 'running',
-  /** Whole; the holders are being told. */
+  /** The answer is complete and is being stored at the holders. */
   Committing = 'committing',
   Ended = 'ended',
   Failed = 'failed',
 }
 
-/** A reader of an attempt's stream. */
+/** A reader of the stream of an attempt. */
 export interface Attachment {
   nextIndex: number;
-  /** True while its connection takes nothing: tokens stay in the one copy that is kept anyway. */
+  /** True while its connection applies backpressure; tokens then stay in the shared buffer. */
   paused: boolean;
 }
 
-/** An attempt on this target. */
+/** An attempt that is hosted for this target. */
 export interface HostedAttempt {
   readonly attempt: Attempt;
   record: RequestRecord;
   readonly payload: unknown;
   phase: HostedPhase;
-  /** Whether the ledger still names it as the lone run; asked just before it starts. */
-  loneRunStands: boolean;
-  loneRunAskedAtMs: number;
-  /** The whole answer so far, with what earlier attempts had made. */
+  /** Whether the ledger still names it as the lone run, as checked just before its start. */
+  loneRunConfirmed: boolean;
+  loneRunCheckedAtMs: number;
+  /** All tokens of the answer so far, including those of earlier attempts. */
   readonly tokens: string[];
   ending: AnswerEnding | null;
   failure: StreamFailure | null;
   readonly attachments: Map<string, Attachment>;
-  /** What the holders have yet to take: the finish or the news of a crash. */
+  /** The call that holders have yet to acknowledge: the answer, its commit mark or a crash. */
   holderCall: HolderCall | null;
   readonly holderReplies: Map<string, HolderReply>;
-  holdersAskedAtMs: number;
-  /** Holders that were asked and may still answer, and when they were. */
-  readonly holdersUnderWay: Map<string, number>;
-  /** Time until which readers wait for the holders, from the end on. */
-  patienceUntilMs: number;
+  holdersCalledAtMs: number;
+  /** When each holder that may still reply was called. */
+  readonly holderCallsInFlight: Map<string, number>;
+  /** When readers are handed the answer if the holders have not committed it. */
+  delegateCommitAtMs: number;
   readonly deadlineAtMs: number;
   expiresAtMs: number;
   sizeBytes: number;
 }
 
-/** A lone run that has not come. */
-export interface AwaitedLoneRun {
-  readonly askedAtMs: number;
+/** A lone run that was probed before its dispatch arrived. */
+export interface ProbedLoneRun {
+  readonly firstProbedAtMs: number;
   forbidden: boolean;
 }
 
-/** What a sidecar finds in its engine that it did not start itself. */
+/** Streams in the engine that an earlier incarnation of the sidecar started. */
 export interface InheritedStreams {
   readonly count: number;
-  /** One of them may be a lone run: nothing is started beside it. */
+  /** True if one of them may be a lone run, which nothing may run beside. */
   readonly mayBeLone: boolean;
 }
 
-/** All that a sidecar knows of attempts. */
+/** State of the attempts of a sidecar. */
 export interface HostState {
   readonly sidecarId: string;
   readonly target: string;
@@ -82,18 +82,18 @@
   readonly attempts: Map<string, HostedAttempt>;
   totalBytes: number;
   draining: boolean;
-  /** Streams of a former incarnation; null until the engine was asked. */
+  /** Streams of an earlier incarnation; null until the engine has been queried. */
   inherited: InheritedStreams | null;
-  /** Contents that crashed a target, oldest first. */
+  /** Hashes of contents that crashed a target, oldest first. */
   readonly suspectedHashes: Set<string>;
   /**
-   * Lone runs that were asked after before they came, with the time of the first question; those
-   * that did not come within the grace are forbidden. Bounded, oldest first.
+   * Lone runs that were probed before their dispatch arrived, oldest first and bounded in number.
+   * Those that do not arrive within the grace period are forbidden.
    */
-  readonly awaitedLoneRuns: Map<string, AwaitedLoneRun>;
+  readonly probedLoneRuns: Map<string, ProbedLoneRun>;
 }
 
-/** What the machine is told. */
+/** Kinds of events that the state machine handles. */
 export enum HostEventKind {
   Dispatched = 'dispatched',
   Attached = 'attached',
@@ -102,12 +102,12 @@
   ReaderResumed = 'reader-resumed',
   EngineTokens = 'engine-tokens',
   EngineEnded = 'engine-ended',
-  /** One stream failed; the engine lives. */
+  /** One stream failed while the engine is still running. */
   EngineStreamFailed = 'engine-stream-failed',
   /** The engine has no such stream. */
   EngineStreamMissing = 'engine-stream-missing',
   EngineCrashed = 'engine-crashed',
-  /** The engine was asked what it runs. */
+  /** The engine reported which streams it runs. */
   EngineInherited = 'engine-inherited',
   HolderReplied = 'holder-replied',
   HolderFailed = 'holder-failed',
@@ -119,11 +119,11 @@
   Tick = 'tick',
 }
 
-/** One thing that the machine is told. */
+/** An event that the state machine handles. */
 export type HostEvent =
   | {
       readonly kind: HostEventKind.Dispatched;
-      /** Names the connection, for the answers to it. */
+      /** Identifies the connection to which the stream is sent. */
       readonly attachId: string;
       readonly message: DispatchMessage;
     }
@@ -151,7 +151,7 @@
   | {
       readonly kind: HostEventKind.EngineStreamFailed;
       readonly attemptId: string;
-      /** False only when the engine refused it before any work. */
+      /** False only if the engine refused it before doing any work. */
       readonly mayHaveRun: boolean;
     }
   | { readonly kind: HostEventKind.EngineStreamMissing; readonly attemptId: string }
@@ -164,7 +164,7 @@
       readonly reply: HolderReply;
     }
   | {
-      /** A holder could not be reached, or its answer is lost for certain. */
+      /** A holder could not be reached, or its reply is known to be lost. */
       readonly kind: HostEventKind.HolderFailed;
       readonly attemptId: string;
       readonly from: string;
@@ -173,7 +173,7 @@
   | {
       readonly kind: HostEventKind.LoneRunChecked;
       readonly attemptId: string;
-      /** Whether the service's lone run in the key-value service is this attempt. */
+      /** Whether the key-value service names this attempt as the lone run of the service. */
       readonly stands: boolean;
     }
   | {
@@ -183,7 +183,7 @@
   | { readonly kind: HostEventKind.DrainChanged; readonly draining: boolean }
   | { readonly kind: HostEventKind.Tick };
 
-/** What the machine asks to be done. */
+/** Kinds of effects that the state machine requests. */
 export enum HostEffectKind {
   StartEngine = 'start-engine',
   ResumeEngine = 'resume-engine',
@@ -194,19 +194,19 @@
   FailStream = 'fail-stream',
   CallHolder = 'call-holder',
   ReportCrash = 'report-crash',
-  /** Read the service's lone run; comes back as `LoneRunChecked`, or not at all in an outage. */
+  /** Read the lone run of the service. The result is `LoneRunChecked`, or nothing in an outage. */
   CheckLoneRun = 'check-lone-run',
   Emit = 'emit',
 }
 
-/** A request that ran while its engine crashed. */
+/** A request that was running when its engine crashed. */
 export interface CrashSuspect {
   readonly attemptId: string;
   readonly bodyHash: string;
   readonly alone: boolean;
 }
 
-/** One thing to be done. */
+/** An effect that the state machine requests. */
 export type HostEffect =
   | {
       readonly kind: HostEffectKind.StartEngine;
@@ -241,7 +241,7 @@
   | {
       readonly kind: HostEffectKind.CallHolder;
       readonly to: string;
-      /** Comes back in `HolderReplied`. */
+      /** Returned in `HolderReplied`. */
       readonly attemptId: string;
       readonly call: HolderCall;
     }
@@ -252,15 +252,15 @@
     }
   | { readonly kind: HostEffectKind.Emit; readonly event: UnstampedEvent };
 
-/** Decides whether an answer is held safely enough for its end to be told. */
+/** Decides whether enough holders have an answer for its end to be reported to readers. */
 export type MayTellEnd = (
   replies: ReadonlyMap<string, HolderReply>,
   holders: readonly string[],
 ) => boolean;
-/** Decides whether a dispatch must wait or be refused because of a lone run. */
+/** Decides whether an attempt may start beside the running ones, given that lone runs run alone. */
 export type LeavesAlone = (running: readonly HostedAttempt[], alone: boolean) => boolean;
 
-/** Bounds and guards. */
+/** Limits of the state machine, and the rules by which it accepts and ends attempts. */
 export interface HostOptions {
   readonly sessions: SessionOptions;
   readonly maxAttempts: number;
@@ -268,14 +268,14 @@
   readonly maxAnswerTokens: number;
   readonly maxSuspectedHashes: number;
   readonly maxAwaitedLoneRuns: number;
-  /** Time that a lone run has to come before it gives way to another. */
+  /** Time within which the dispatch of a probed lone run must arrive before it is forbidden. */
   readonly loneRunGraceMs: number;
-  /** Time for which an ended attempt is kept for readers. */
+  /** How long an ended attempt is kept for readers. */
   readonly retentionMs: number;
   readonly holderRetryMs: number;
-  /** Wait before a holder that is silent, though it was reached, is asked once more. */
+  /** Delay before a call is repeated to a holder that was reached but has not replied. */
   readonly holderRepeatMs: number;
-  /** Time after which readers are handed an answer that could not be committed from here. */
+  /** Time after which readers are handed an answer that this sidecar could not commit. */
   readonly commitPatienceMs: number;
   readonly busyRetryAfterMs: number;
   readonly judgeSequence: JudgeSequence;
@@ -283,7 +283,7 @@
   readonly leavesAlone: LeavesAlone;
 }
 
-/** What varies from call to call. */
+/** Inputs that vary from call to call. */
 export interface HostContext {
   readonly nowMs: number;
   readonly options: HostOptions;
--- a/packages/coordination/src/core/records/host.ts
+++ b/packages/coordination/src/core/records/host.ts
@@ -1,20 +1,21 @@
 /**
- * The attempt machine of a sidecar. A dispatch runs once, in the session that it names; an attempt
- * that was taken back or refused never runs, however late a copy of its dispatch comes. Answers are
- * kept whole while they are made and go on without any entry; the end goes to the holders first.
+ * State machine with which a sidecar hosts the attempts on its target. A dispatch runs at most
+ * once, in the session that it names, and an attempt that was cancelled or refused never runs, even
+ * if another copy of its dispatch arrives later. Answers are buffered and continue without a
+ * connected entry, and they are stored at the holders before readers receive their end.
  */
-import { askHolders, checkCommitted, handOver, onHolderReply } from './host-commit.js';
+import { callHolders, checkCommitted, delegateCommit, onHolderReply } from './host-commit.js';
 import {
-  neverRun,
+  rejectWaiting,
   onAttach,
   onDispatch,
   onLoneRunChecked,
   removeHosted,
   runningAttempts,
-  startWhenAlone,
+  startWaitingAttempts,
 } from './host-dispatch.js';
-import { onCrash, onEngine, onSuspicion } from './host-engine.js';
-import { attemptOfReader, feedReader } from './host-streams.js';
+import { onEngineCrash, onEngineEvent, onContentSuspected } from './host-engine.js';
+import { findAttemptByReader, sendToReader } from './host-streams.js';
 import type { HostTurn } from './host-streams.js';
 import { HostEventKind, HostedPhase } from './host-types.js';
 import type { HostContext, HostEffect, HostEvent, HostState } from './host-types.js';
@@ -23,7 +24,7 @@
 import type { Attempt } from './record.js';
 import { SequenceVerdict, createSessions, markSeen } from './sessions.js';
 
-/** A sidecar that has just started; `incarnation` is drawn anew at each start. */
+/** Creates the state of a sidecar at its start; each start draws a new `incarnation`. */
 export function createHost(sidecarId: string, target: string, incarnation: string): HostState {
   return {
     sidecarId,
@@ -34,11 +35,11 @@
     draining: false,
     inherited: null,
     suspectedHashes: new Set(),
-    awaitedLoneRuns: new Map(),
+    probedLoneRuns: new Map(),
   };
 }
 
-/** Takes one event and returns what is to be done. */
+/** Handles an event and returns the effects to carry out. */
 export function handleHostEvent(
   state: HostState,
   event: HostEvent,
@@ -49,7 +50,7 @@
   return turn.out;
 }
 
-/** Takes an attempt back unless it was received; the answer says truly which. */
+/** Cancels an attempt unless it has started, and returns what is known about it. */
 export function cancelHosted(
   state: HostState,
   message: CancelMessage,
@@ -77,14 +78,14 @@
     case HostEventKind.EngineEnded:
     case HostEventKind.EngineStreamFailed:
     case HostEventKind.EngineStreamMissing:
-      onEngine(turn, event);
+      onEngineEvent(turn, event);
       return;
     case HostEventKind.EngineCrashed:
-      onCrash(turn);
+      onEngineCrash(turn);
       return;
     case HostEventKind.EngineInherited:
       state.inherited = event.inherited;
-      startWhenAlone(turn);
+      startWaitingAttempts(turn);
       return;
     case HostEventKind.HolderReplied: {
       const hosted = state.attempts.get(event.attemptId);
@@ -92,11 +93,11 @@
       return;
     }
     case HostEventKind.HolderFailed:
-      state.attempts.get(event.attemptId)?.holdersUnderWay.delete(event.from);
+      state.attempts.get(event.attemptId)?.holderCallsInFlight.delete(event.from);
       return;
     case HostEventKind.MembersChanged:
       for (const hosted of state.attempts.values()) {
-        askHolders(turn, hosted);
+        callHolders(turn, hosted);
         checkCommitted(turn, hosted);
       }
       return;
@@ -104,7 +105,7 @@
       onLoneRunChecked(turn, event.attemptId, event.stands);
       return;
     case HostEventKind.ContentSuspected:
-      onSuspicion(turn, event.bodyHash);
+      onContentSuspected(turn, event.bodyHash);
       return;
     case HostEventKind.ContentCleared:
       state.suspectedHashes.delete(event.bodyHash);
@@ -118,7 +119,7 @@
 }
 
 function onReader(turn: HostTurn, kind: HostEventKind, attachId: string): void {
-  const hosted = attemptOfReader(turn.state, attachId);
+  const hosted = findAttemptByReader(turn.state, attachId);
   const reader = hosted?.attachments.get(attachId);
   if (hosted === undefined || reader === undefined) return;
   if (kind === HostEventKind.Detached) {
@@ -126,21 +127,21 @@
     return;
   }
   reader.paused = kind === HostEventKind.ReaderPaused;
-  feedReader(turn, hosted, attachId);
+  sendToReader(turn, hosted, attachId);
 }
 
 function onTick(turn: HostTurn): void {
   const { state, context } = turn;
   for (const hosted of state.attempts.values()) {
-    const isExpiredWaiter =
+    const hasExpiredWaiting =
       hosted.phase === HostedPhase.Waiting && hosted.deadlineAtMs <= context.nowMs;
-    if (isExpiredWaiter) neverRun(turn, hosted, StreamFailureReason.Expired);
-    const askAgainAtMs = hosted.holdersAskedAtMs + context.options.holderRetryMs;
-    if (hosted.holderCall !== null && askAgainAtMs <= context.nowMs) askHolders(turn, hosted);
-    if (hosted.patienceUntilMs <= context.nowMs) handOver(turn, hosted);
+    if (hasExpiredWaiting) rejectWaiting(turn, hosted, StreamFailureReason.Expired);
+    const nextCallAtMs = hosted.holdersCalledAtMs + context.options.holderRetryMs;
+    if (hosted.holderCall !== null && nextCallAtMs <= context.nowMs) callHolders(turn, hosted);
+    if (hosted.delegateCommitAtMs <= context.nowMs) delegateCommit(turn, hosted);
     if (hosted.expiresAtMs <= context.nowMs) removeHosted(state, hosted);
   }
-  startWhenAlone(turn);
+  startWaitingAttempts(turn);
 }
 
 function cancel(turn: HostTurn, attempt: Attempt): CancelOutcome {
@@ -148,7 +149,7 @@
   const hosted = state.attempts.get(attempt.id);
   if (hosted !== undefined) {
     if (hosted.phase === HostedPhase.Waiting) {
-      neverRun(turn, hosted, StreamFailureReason.Cancelled);
+      rejectWaiting(turn, hosted, StreamFailureReason.Cancelled);
     }
     return hosted.failure?.mayHaveRun === false ? CancelOutcome.NeverRuns : CancelOutcome.Started;
   }
@@ -166,8 +167,9 @@
 }
 
 /**
- * Says what became of a lone run whose place another suspect wants. One that does not come within
- * the grace is forbidden before its place is given away: its dispatch may still be under way.
+ * Returns the state of a lone run whose slot another suspect wants. A lone run whose dispatch does
+ * not arrive within the grace period is forbidden before its slot is released, because the dispatch
+ * may still be in flight.
  */
 export function probeLoneRun(
   state: HostState,
@@ -177,24 +179,28 @@
   const { attemptId, sidecarIncarnation } = message;
   if (sidecarIncarnation !== state.sessions.incarnation) return LoneProbe.Gone;
   const hosted = state.attempts.get(attemptId);
-  if (hosted === undefined) return awaitLoneRun(state, attemptId, context);
+  if (hosted === undefined) return probeUnarrivedLoneRun(state, attemptId, context);
   if (hosted.failure?.reason === StreamFailureReason.EngineCrashed) return LoneProbe.Crashed;
   return runningAttempts(state).includes(hosted) ? LoneProbe.Running : LoneProbe.Over;
 }
 
-function awaitLoneRun(state: HostState, attemptId: string, context: HostContext): LoneProbe {
+function probeUnarrivedLoneRun(
+  state: HostState,
+  attemptId: string,
+  context: HostContext,
+): LoneProbe {
   const { nowMs, options } = context;
-  const awaited = state.awaitedLoneRuns.get(attemptId);
-  if (awaited === undefined) {
-    if (state.awaitedLoneRuns.size >= options.maxAwaitedLoneRuns) dropOldestAwaited(state);
-    state.awaitedLoneRuns.set(attemptId, { askedAtMs: nowMs, forbidden: false });
+  const probedRun = state.probedLoneRuns.get(attemptId);
+  if (probedRun === undefined) {
+    if (state.probedLoneRuns.size >= options.maxAwaitedLoneRuns) dropOldestProbed(state);
+    state.probedLoneRuns.set(attemptId, { firstProbedAtMs: nowMs, forbidden: false });
     return LoneProbe.Running;
   }
-  if (nowMs - awaited.askedAtMs >= options.loneRunGraceMs) awaited.forbidden = true;
-  return awaited.forbidden ? LoneProbe.Over : LoneProbe.Running;
+  if (nowMs - probedRun.firstProbedAtMs >= options.loneRunGraceMs) probedRun.forbidden = true;
+  return probedRun.forbidden ? LoneProbe.Over : LoneProbe.Running;
 }
 
-function dropOldestAwaited(state: HostState): void {
-  const oldest = state.awaitedLoneRuns.keys().next().value;
-  if (oldest !== undefined) state.awaitedLoneRuns.delete(oldest);
+function dropOldestProbed(state: HostState): void {
+  const oldest = state.probedLoneRuns.keys().next().value;
+  if (oldest !== undefined) state.probedLoneRuns.delete(oldest);
 }
--- a/packages/coordination/src/core/records/place.ts
+++ b/packages/coordination/src/core/records/place.ts
@@ -1,6 +1,6 @@
-/** Where an attempt of a request runs. */
+/** Describes where an attempt of a request runs. */
 
-/** A sidecar and the target beside it. */
+/** A sidecar and the target that it serves. */
 export interface Place {
   readonly sidecar: string;
   readonly target: string;
--- a/packages/coordination/src/core/records/repair.ts
+++ b/packages/coordination/src/core/records/repair.ts
@@ -1,7 +1,8 @@
 /**
- * Restores the second copy of records after members changed. Paced: a lost failure domain touches
- * every record at once, and the copies must not crowd out the requests. A member that is no longer
- * a holder keeps its copy until both present holders have acknowledged theirs.
+ * Restores the replicas of records after the membership changed. Repair is rate limited because the
+ * loss of a failure domain affects many records at once, and the copies must not crowd out
+ * requests. A member that is no longer a holder of a key keeps its copy until both current holders
+ * have acknowledged theirs.
  */
 import { HolderCallKind, HolderReplyKind } from './messages.js';
 import type { HolderCall, HolderReply } from './messages.js';
@@ -10,59 +11,59 @@
 import { coversRecord } from './record.js';
 import type { RequestRecord } from './record.js';
 
-/** Pace of repair. */
+/** Limits of the repair rate. */
 export interface RepairOptions {
-  /** Records looked at in one tick. */
+  /** Number of records checked per tick. */
   readonly repairsPerTick: number;
-  /** Copies that wait for the acknowledgement of one member at a time. */
+  /** Limit of unacknowledged copies per member. */
   readonly maxUnderWay: number;
-  /** Wait before a copy that was not acknowledged is sent again; doubles with each time. */
+  /** Delay before an unacknowledged copy is resent; doubles with each resend. */
   readonly resendAfterMs: number;
-  /** Time without a change of members before a copy that belongs elsewhere is dropped. */
+  /** Time without membership changes before a copy that belongs to other members is dropped. */
   readonly handoverGraceMs: number;
 }
 
-/** A copy on its way. */
+/** A copy that was sent and that some holders have not acknowledged. */
 interface PendingRepair {
-  readonly missing: Set<string>;
+  readonly unacknowledged: Set<string>;
   readonly sentAtMs: number;
-  readonly waitMs: number;
-  /** The record as sent: one that changed since must be sent again before it may be dropped. */
+  readonly resendDelayMs: number;
+  /** The record as sent. If it has changed since, it must be resent before it may be dropped. */
   readonly sent: RequestRecord;
 }
 
-/** What is still to be restored. Bounded by the number of records held. */
+/** Progress of the repair. Its size is bounded by the number of records held. */
 export interface RepairState {
   queue: string[];
   readonly pending: Map<string, PendingRepair>;
-  /** Wait before the next copy of a record whose copies were not acknowledged. */
-  readonly waitsMs: Map<string, number>;
-  /** Keys that the present holders have acknowledged and whose copy here is kept for the grace. */
+  /** Delay until the next resend, for records with unacknowledged copies. */
+  readonly resendDelaysMs: Map<string, number>;
+  /** Keys that all current holders have acknowledged, while the copy here is kept for the grace. */
   readonly handedOver: Set<string>;
   changedAtMs: number;
 }
 
-/** A copy to send. */
+/** A copy to send to a holder. */
 export interface RepairSend {
   readonly to: string;
   readonly call: HolderCall;
 }
 
-/** A holder's answer to a copy that was sent. */
-export interface RepairAnswer {
+/** A holder's reply to a copy that was sent. */
+export interface RepairReply {
   readonly from: string;
   readonly keyText: string;
   readonly reply: HolderReply;
   readonly options: RepairOptions;
   readonly nowMs: number;
-  /** Joins what the holder has into the copy here. */
+  /** Merges the record that the holder has into the copy here. */
   readonly restore: (copy: RequestRecord) => void;
 }
 
-/** Who should hold a key. */
+/** Returns the ids of the members that should hold a key. */
 export type HoldersOfKey = (keyText: string) => readonly string[];
 
-/** A member's table with what its repair needs. */
+/** The table of a member, together with the state and the placement that its repair needs. */
 export interface HolderPlace {
   readonly holder: HolderState;
   readonly repair: RepairState;
@@ -70,24 +71,24 @@
   readonly holdersOfKey: HoldersOfKey;
 }
 
-/** Nothing to restore. */
+/** Creates a repair state with an empty queue. */
 export function createRepair(): RepairState {
   return {
     queue: [],
     pending: new Map(),
-    waitsMs: new Map(),
+    resendDelaysMs: new Map(),
     handedOver: new Set(),
     changedAtMs: 0,
   };
 }
 
 /**
- * Checks every record against its holders after the members changed. `renewed` names the members
- * whose memory may be new: they came, or began another incarnation; null stands for all of them.
- * Failure guarded against: under load members suspect each other and take it back, and each time every
- * member sends all its records; it shows as copies that outnumber the records by hundreds to one. The
- * guard holds because a copy that a holder has acknowledged, and cannot have lost, is not sent again.
- * A fleet with a tenth of its processor time sent 44,949 copies of 140 records in a minute without it.
+ * Queues every record for repair after the membership changed. `renewed` contains the members that
+ * may have lost their memory, because they joined or have a new incarnation; null stands for all
+ * members. A copy is not resent to a holder that acknowledged it and cannot have lost it. Under
+ * load, members suspect each other and refute the suspicion, and each of these changes would
+ * otherwise make every member resend all its records: without this rule, a fleet with a tenth of
+ * its CPU time sent 44,949 copies of 140 records in a minute.
  */
 export function scheduleRepair(
   repair: RepairState,
@@ -97,33 +98,34 @@
 ): void {
   repair.changedAtMs = nowMs;
   repair.handedOver.clear();
-  repair.waitsMs.clear();
-  forgetAcknowledgements(holder, renewed);
-  forgetUnderWay(repair, renewed);
+  repair.resendDelaysMs.clear();
+  discardAcknowledgements(holder, renewed);
+  discardPendingCopies(repair, renewed);
   repair.queue = [...holder.records.keys()];
 }
 
-/** Acknowledgements of a member's earlier incarnation mean nothing. */
-function forgetAcknowledgements(holder: HolderState, renewed: ReadonlySet<string> | null): void {
+/** Discards the acknowledgements of renewed members, whose earlier incarnation gave them. */
+function discardAcknowledgements(holder: HolderState, renewed: ReadonlySet<string> | null): void {
   for (const held of holder.records.values()) {
     if (renewed === null) held.acknowledgedBy = null;
     else for (const id of renewed) held.acknowledgedBy?.delete(id);
   }
 }
 
-/** Nor do those that are still to come. */
-function forgetUnderWay(repair: RepairState, renewed: ReadonlySet<string> | null): void {
-  for (const [keyText, { missing }] of repair.pending) {
-    const isToRenewed = renewed === null || [...missing].some((id) => renewed.has(id));
+/** Discards pending copies to renewed members, whose earlier incarnation may still acknowledge. */
+function discardPendingCopies(repair: RepairState, renewed: ReadonlySet<string> | null): void {
+  for (const [keyText, { unacknowledged }] of repair.pending) {
+    const isToRenewed = renewed === null || [...unacknowledged].some((id) => renewed.has(id));
     if (isToRenewed) repair.pending.delete(keyText);
   }
 }
 
 /**
- * Answers a call, and queues what it brought for repair when its place is elsewhere. Failure: a
- * sidecar whose view is old commits an answer at members that are holders to it alone; they see no
- * change of members and would keep it for themselves; it shows as a told answer that is run anew.
- * The guard holds because what a member stores and should not hold is handed to those that should.
+ * Handles a holder call, and queues the record for repair if it changed and this member is not one
+ * of its holders. A sidecar with an outdated view of the membership can commit an answer at members
+ * that are no longer holders of the key. They see no membership change that would start a repair,
+ * so without this the current holders would lack the answer, and a retry would run the request
+ * again although its answer was delivered.
  */
 export function handleHolderCallAt(
   place: HolderPlace,
@@ -136,26 +138,26 @@
   const before = holder.records.get(keyText)?.record;
   const reply = handleHolderCall(holder, call, options, nowMs);
   const after = holder.records.get(keyText)?.record;
-  const isNews = after !== undefined && after !== before;
-  if (isNews && !holdersOfKey(keyText).includes(selfId)) {
+  const hasChanged = after !== undefined && after !== before;
+  if (hasChanged && !holdersOfKey(keyText).includes(selfId)) {
     repair.handedOver.delete(keyText);
     repair.queue.push(keyText);
   }
   return reply;
 }
 
-/** One tick's inputs and what it sends. */
+/** The inputs of one tick and the copies that it sends. */
 interface RepairTurn {
   readonly repair: RepairState;
   readonly holder: HolderState;
   readonly options: RepairOptions;
   readonly nowMs: number;
-  /** Copies under way to each member: one that is silent must not take the places of the others. */
-  readonly underWay: Map<string, number>;
+  /** Unacknowledged copies per member, so that an unresponsive member does not block the others. */
+  readonly inFlight: Map<string, number>;
   readonly sends: RepairSend[];
 }
 
-/** Sends the next copies, and again those that were not acknowledged in time. */
+/** Returns the next copies to send, including resends of copies not acknowledged in time. */
 export function tickRepair(
   repair: RepairState,
   holder: HolderState,
@@ -164,66 +166,69 @@
   options: RepairOptions,
   nowMs: number,
 ): readonly RepairSend[] {
-  requeueUnanswered(repair, nowMs);
-  if (isCalm(repair, options, nowMs)) verifyHandedOver(repair, holder);
+  requeueUnacknowledged(repair, nowMs);
+  if (isMembershipStable(repair, options, nowMs)) verifyHandedOver(repair, holder);
   const turn: RepairTurn = {
     repair,
     holder,
     options,
     nowMs,
-    underWay: countUnderWay(repair),
+    inFlight: countInFlight(repair),
     sends: [],
   };
   for (const keyText of repair.queue.splice(0, options.repairsPerTick)) {
     const held = holder.records.get(keyText);
-    if (held === undefined) repair.waitsMs.delete(keyText);
+    if (held === undefined) repair.resendDelaysMs.delete(keyText);
     if (held === undefined || repair.pending.has(keyText)) continue;
     const holders = holdersOfKey(keyText);
-    const others = holders.filter((member) => member !== selfId);
-    const missing = missingAt(held, others);
+    const otherHolders = holders.filter((member) => member !== selfId);
+    const missing = holdersLacking(held, otherHolders);
     if (missing.length > 0) sendCopies(turn, held, missing);
-    else if (others.length > 0 && !holders.includes(selfId)) settle(turn, keyText);
+    else if (otherHolders.length > 0 && !holders.includes(selfId)) releaseCopy(turn, keyText);
   }
   return turn.sends;
 }
 
-/** Holders that may lack the record. Who holds the key no longer may drop its copy, and is forgotten. */
-function missingAt(held: HeldRecord, holders: readonly string[]): readonly string[] {
+/**
+ * Returns the holders that have not acknowledged the record. Also discards acknowledgements of
+ * members that are no longer holders, since those may drop their copies.
+ */
+function holdersLacking(held: HeldRecord, holders: readonly string[]): readonly string[] {
   const acknowledgedBy = held.acknowledgedBy ?? new Set();
   for (const id of [...acknowledgedBy]) if (!holders.includes(id)) acknowledgedBy.delete(id);
   return holders.filter((member) => !acknowledgedBy.has(member));
 }
 
 function sendCopies(turn: RepairTurn, held: HeldRecord, missing: readonly string[]): void {
-  const { repair, options, nowMs, underWay, sends } = turn;
+  const { repair, options, nowMs, inFlight, sends } = turn;
   const { record } = held;
-  const open = missing.filter((member) => (underWay.get(member) ?? 0) < options.maxUnderWay);
-  if (open.length === 0) {
+  const recipients = missing.filter((member) => (inFlight.get(member) ?? 0) < options.maxUnderWay);
+  if (recipients.length === 0) {
     repair.queue.push(record.keyText);
     return;
   }
-  for (const member of open) underWay.set(member, (underWay.get(member) ?? 0) + 1);
-  const waitMs = repair.waitsMs.get(record.keyText) ?? options.resendAfterMs;
-  repair.waitsMs.set(record.keyText, waitMs * 2);
+  for (const member of recipients) inFlight.set(member, (inFlight.get(member) ?? 0) + 1);
+  const resendDelayMs = repair.resendDelaysMs.get(record.keyText) ?? options.resendAfterMs;
+  repair.resendDelaysMs.set(record.keyText, resendDelayMs * 2);
   repair.pending.set(record.keyText, {
-    missing: new Set(open),
+    unacknowledged: new Set(recipients),
     sentAtMs: nowMs,
-    waitMs,
+    resendDelayMs,
     sent: record,
   });
   const call: HolderCall = { kind: HolderCallKind.Restore, record: recordAt(held, nowMs) };
-  sends.push(...open.map((to) => ({ to, call })));
+  sends.push(...recipients.map((to) => ({ to, call })));
 }
 
-function countUnderWay(repair: RepairState): Map<string, number> {
+function countInFlight(repair: RepairState): Map<string, number> {
   const counts = new Map<string, number>();
-  for (const { missing } of repair.pending.values()) {
-    for (const member of missing) counts.set(member, (counts.get(member) ?? 0) + 1);
+  for (const { unacknowledged } of repair.pending.values()) {
+    for (const member of unacknowledged) counts.set(member, (counts.get(member) ?? 0) + 1);
   }
   return counts;
 }
 
-/** What was handed over is asked for once more before it is dropped here. */
+/** Queues handed-over records again, to have them acknowledged once more before the drop. */
 function verifyHandedOver(repair: RepairState, holder: HolderState): void {
   for (const keyText of repair.handedOver) {
     const held = holder.records.get(keyText);
@@ -234,67 +239,71 @@
 }
 
 /**
- * Takes a holder's acknowledgement; drops the copy here when its place is elsewhere now. Failure: an
- * acknowledgement of an older copy comes late and is taken for the newer one's; it shows as an
- * answer that was told and is then run anew. The guard holds because the reply shows what the
- * holder has, and that must cover what was sent.
+ * Processes the acknowledgement of a copy, and releases the copy here if this member is no longer a
+ * holder. The acknowledged record must cover the one that was sent: a late acknowledgement of an
+ * older copy could otherwise count for a newer one, and a request whose answer was delivered could
+ * run again.
  */
 export function onRepairReply(
   repair: RepairState,
   holder: HolderState,
   selfId: string,
   holdersOfKey: HoldersOfKey,
-  answer: RepairAnswer,
+  answer: RepairReply,
 ): void {
   const pending = repair.pending.get(answer.keyText);
-  const copy = answer.reply.record;
-  if (pending === undefined || copy === null) return;
+  const acknowledgedRecord = answer.reply.record;
+  if (pending === undefined || acknowledgedRecord === null) return;
   if (answer.reply.kind !== HolderReplyKind.Done) return;
-  if (!coversRecord(copy, pending.sent)) {
-    answer.restore(copy);
+  if (!coversRecord(acknowledgedRecord, pending.sent)) {
+    answer.restore(acknowledgedRecord);
     return;
   }
   const held = holder.records.get(answer.keyText);
   const isSame = held?.record === pending.sent;
   if (isSame) (held.acknowledgedBy ??= new Set()).add(answer.from);
-  pending.missing.delete(answer.from);
-  if (pending.missing.size > 0) return;
+  pending.unacknowledged.delete(answer.from);
+  if (pending.unacknowledged.size > 0) return;
   repair.pending.delete(answer.keyText);
-  repair.waitsMs.delete(answer.keyText);
+  repair.resendDelaysMs.delete(answer.keyText);
   const holders = holdersOfKey(answer.keyText);
-  const others = holders.filter((member) => member !== selfId);
-  if (!isSame || missingAt(held, others).length > 0) repair.queue.push(answer.keyText);
-  else if (others.length > 0 && !holders.includes(selfId)) {
-    settle({ repair, holder, options: answer.options, nowMs: answer.nowMs }, answer.keyText);
+  const otherHolders = holders.filter((member) => member !== selfId);
+  if (!isSame || holdersLacking(held, otherHolders).length > 0) repair.queue.push(answer.keyText);
+  else if (otherHolders.length > 0 && !holders.includes(selfId)) {
+    releaseCopy({ repair, holder, options: answer.options, nowMs: answer.nowMs }, answer.keyText);
   }
 }
 
-/** Every holder has the record, and this member is none: its copy goes after the grace. */
-function settle(
+/** Drops a copy that all holders have acknowledged, or keeps it until the grace period ends. */
+function releaseCopy(
   turn: Pick<RepairTurn, 'repair' | 'holder' | 'options' | 'nowMs'>,
   keyText: string,
 ): void {
   const { repair, holder, options, nowMs } = turn;
-  if (isCalm(repair, options, nowMs)) dropRecord(holder, keyText);
+  if (isMembershipStable(repair, options, nowMs)) dropRecord(holder, keyText);
   else repair.handedOver.add(keyText);
 }
 
 /**
- * Guards a record between two members that each believe the other is its holder, since their views
- * differ after a change. Failure: each is acknowledged by the other and drops its copy; it shows as
- * a told answer that is run anew. The guard holds because by the end of the grace views agree.
+ * Returns whether the membership has been unchanged for the grace period, within which the views of
+ * all members converge. While views differ, two members can each regard the other as a holder: each
+ * would drop its copy after the acknowledgement of the other, and a request whose answer was
+ * delivered would run again.
  */
-function isCalm(repair: RepairState, options: RepairOptions, nowMs: number): boolean {
+function isMembershipStable(repair: RepairState, options: RepairOptions, nowMs: number): boolean {
   return nowMs - repair.changedAtMs >= options.handoverGraceMs;
 }
 
-/** Copies that were not acknowledged keep their turn: others of a silent member would fare no better. */
-function requeueUnanswered(repair: RepairState, nowMs: number): void {
-  const due: string[] = [];
+/**
+ * Puts records with overdue acknowledgements at the front of the queue. They keep their turn
+ * because other records for the same unresponsive member would not be acknowledged either.
+ */
+function requeueUnacknowledged(repair: RepairState, nowMs: number): void {
+  const overdueKeys: string[] = [];
   for (const [keyText, pending] of repair.pending) {
-    if (nowMs - pending.sentAtMs < pending.waitMs) continue;
+    if (nowMs - pending.sentAtMs < pending.resendDelayMs) continue;
     repair.pending.delete(keyText);
-    due.push(keyText);
+    overdueKeys.push(keyText);
   }
-  repair.queue.unshift(...due);
+  repair.queue.unshift(...overdueKeys);
 }
--- a/packages/coordination/src/core/records/sessions.ts
+++ b/packages/coordination/src/core/records/sessions.ts
@@ -1,27 +1,28 @@
 /**
- * Dispatch sessions of a sidecar: what tells a fresh dispatch from one that is old, repeated or
- * taken back, in bounded memory and however late it arrives. A session belongs to one incarnation
- * of an entry and one of the sidecar; within it dispatches are counted, and a window over the
- * numbers remembers which were seen. A number below the window, or a session that was dropped, is
- * refused for ever.
+ * Dispatch sessions of a sidecar, which distinguish a new dispatch from an outdated, repeated or
+ * cancelled one, in bounded memory and for any delivery delay. A session belongs to one incarnation
+ * of an entry and one of the sidecar. Its dispatches have sequence numbers, and a sliding window
+ * records which ones were seen. Numbers below the window and dispatches of a dropped session never
+ * run.
  */
 import type { Attempt } from './record.js';
 
-/** Bounds of the sessions of a sidecar. */
+/** Limits of the sessions of a sidecar. */
 export interface SessionOptions {
   readonly maxSessions: number;
-  /** Numbers remembered per session: how far dispatches may overtake each other. */
+  /** Sequence numbers recorded per session, which limits how far dispatches may be reordered. */
   readonly windowSize: number;
 }
 
-/** One session. */
+/** A dispatch session. */
 export interface DispatchSession {
   readonly sessionId: string;
   readonly entryIncarnation: string;
-  /** Numbers at or below it are too old. */
+  /** Sequence numbers up to this one are too old. */
   floor: number;
+  /** Sequence numbers above the floor that were received or cancelled. */
   readonly seen: Set<number>;
-  /** Of the seen ones, those that never run. */
+  /** The seen numbers whose dispatches never run. */
   readonly refused: Set<number>;
 }
 
@@ -33,27 +34,27 @@
   lastNumber: number;
 }
 
-/** What a dispatch number turns out to be. */
+/** Classification of the sequence number of a dispatch. */
 export enum SequenceVerdict {
   Fresh = 'fresh',
-  /** Refused before: it never ran. */
+  /** It was refused earlier and has never run. */
   Refused = 'refused',
-  /** Seen before, or too old to say. */
+  /** It was seen earlier, or is too old to tell. */
   Stale = 'stale',
-  /** The session is not one of this incarnation, or was dropped. */
+  /** The session belongs to another incarnation, or was dropped. */
   NoSession = 'no-session',
 }
 
-/** Judges the number of a dispatch. */
+/** Classifies the sequence number of a dispatch. */
 export type JudgeSequence = (
   session: DispatchSession | undefined,
   sequence: number,
 ) => SequenceVerdict;
 
 /**
- * Guards a call against running twice. Failure: a dispatch is delivered again, or so late that its
- * attempt was taken back or replaced; it shows as work that runs after "not-run" was said, or runs
- * twice. The guard holds because a number is fresh once, in one session of one incarnation.
+ * Classifies a sequence number as fresh only once, in one session of one incarnation. Without this,
+ * a dispatch that is delivered twice, or after its attempt was cancelled or replaced, would run
+ * twice, or run although "not-run" was reported.
  */
 export const judgeSequence: JudgeSequence = (session, sequence) => {
   if (session === undefined) return SequenceVerdict.NoSession;
@@ -62,22 +63,22 @@
   return isStale ? SequenceVerdict.Stale : SequenceVerdict.Fresh;
 };
 
-/** No sessions; `incarnation` is drawn anew at each start of the sidecar. */
+/** Creates an empty set of sessions; each start of the sidecar draws a new `incarnation`. */
 export function createSessions(incarnation: string): SessionsState {
   return { incarnation, byId: new Map(), idByEntry: new Map(), lastNumber: 0 };
 }
 
-/** The session of an entry's incarnation: the one that it has, or a new one. */
+/** Returns the id of the session of an entry's incarnation, opening one if there is none. */
 export function openSession(
   state: SessionsState,
   entryIncarnation: string,
   options: SessionOptions,
 ): string {
-  const knownId = state.idByEntry.get(entryIncarnation);
-  const known = knownId === undefined ? undefined : state.byId.get(knownId);
-  if (known !== undefined) {
-    touch(state, known);
-    return known.sessionId;
+  const existingId = state.idByEntry.get(entryIncarnation);
+  const existing = existingId === undefined ? undefined : state.byId.get(existingId);
+  if (existing !== undefined) {
+    markRecentlyUsed(state, existing);
+    return existing.sessionId;
   }
   while (state.byId.size >= options.maxSessions) dropOldest(state);
   state.lastNumber += 1;
@@ -94,7 +95,7 @@
   return sessionId;
 }
 
-/** Remembers that a number was seen, and whether its dispatch never runs. */
+/** Records that the sequence number of an attempt was seen, and whether its dispatch never runs. */
 export function markSeen(
   state: SessionsState,
   attempt: Attempt,
@@ -103,13 +104,13 @@
 ): void {
   const session = state.byId.get(attempt.sessionId);
   if (session === undefined) return;
-  touch(state, session);
+  markRecentlyUsed(state, session);
   session.seen.add(attempt.sequence);
   if (neverRuns) session.refused.add(attempt.sequence);
   raiseFloor(session, attempt.sequence - options.windowSize);
 }
 
-/** Whether a session was given by this incarnation, dropped or not. */
+/** Returns whether this incarnation opened the session, even if it was dropped since. */
 export function isOfIncarnation(state: SessionsState, sessionId: string): boolean {
   return sessionId.startsWith(`${state.incarnation}.`);
 }
@@ -121,7 +122,7 @@
   }
 }
 
-function touch(state: SessionsState, session: DispatchSession): void {
+function markRecentlyUsed(state: SessionsState, session: DispatchSession): void {
   state.byId.delete(session.sessionId);
   state.byId.set(session.sessionId, session);
 }
