--- a/packages/coordination/test/core/records/holder.test.ts
+++ b/packages/coordination/test/core/records/holder.test.ts
@@ -1,4 +1,4 @@
-/** The table of records: first writer, fences, bounds, repair. */
+/** Tests for the record table of a holder and for the repair of its replicas. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { createHolder, handleHolderCall, sweepHolder } from '../../../src/core/records/holder.js';
@@ -20,8 +20,8 @@
 import type { RepairState } from '../../../src/core/records/repair.js';
 import { makeAnswer, makeAttempt, makeRecord } from '../../fixtures/requests.js';
 
-const first = makeAttempt('first');
-const second = makeAttempt('second', { number: 2 });
+const firstAttempt = makeAttempt('first');
+const secondAttempt = makeAttempt('second', { number: 2 });
 
 function call(state: HolderState, holderCall: HolderCall, nowMs = 0): HolderReply {
   return handleHolderCall(state, holderCall, DEFAULT_HOLDER_OPTIONS, nowMs);
@@ -31,13 +31,13 @@
   return call(state, { kind: HolderCallKind.Create, record }).kind;
 }
 
-function noted(state: HolderState): void {
+function noteFirstAttempt(state: HolderState): void {
   create(state, makeRecord());
   const record = makeRecord();
-  call(state, { kind: HolderCallKind.Note, record, attempt: first, previousId: null });
+  call(state, { kind: HolderCallKind.Note, record, attempt: firstAttempt, previousId: null });
 }
 
-function finish(state: HolderState, attempt: typeof first): HolderReply {
+function finish(state: HolderState, attempt: typeof firstAttempt): HolderReply {
   const record = makeRecord();
   const answer = makeAnswer(attempt);
   return call(state, { kind: HolderCallKind.Finish, record, answer, failure: null });
@@ -45,7 +45,7 @@
 
 describe('holder', () => {
   describe('a new record', () => {
-    it('is the first writer’s; others get the standing one, other bodies a conflict', () => {
+    it('is created by the first writer only; other writers get its record or a conflict', () => {
       const state = createHolder(0);
       assert.equal(create(state, makeRecord()), HolderReplyKind.Done);
       assert.equal(create(state, makeRecord()), HolderReplyKind.Done);
@@ -53,25 +53,25 @@
       assert.equal(create(state, makeRecord({ bodyHash: 'other' })), HolderReplyKind.Conflict);
     });
 
-    it('is released only by its own creation and before any attempt', () => {
+    it('is released only by its creator and only before the first attempt', () => {
       const state = createHolder(0);
       create(state, makeRecord());
       const release = (creationId: string): HolderReplyKind =>
         call(state, { kind: HolderCallKind.Release, keyText: 'key', creationId }).kind;
       assert.equal(release('other'), HolderReplyKind.Standing);
       assert.equal(release('creation'), HolderReplyKind.Done);
-      noted(state);
+      noteFirstAttempt(state);
       assert.equal(release('creation'), HolderReplyKind.Standing);
     });
   });
 
   describe('notes', () => {
-    // Story: two entries hold one key; the engine fails and both go for a second attempt. One of
-    // them must yield, or both run. Cause: both saw the same attempt fail.
-    it('let one attempt follow another', () => {
+    // Two entries serve the same key, see the same attempt fail, and both note a second attempt.
+    // Both would run if the holder accepted more than one successor.
+    it('let an attempt have at most one successor', () => {
       const state = createHolder(0);
-      noted(state);
-      const record = makeRecord({ attempts: [first] });
+      noteFirstAttempt(state);
+      const record = makeRecord({ attempts: [firstAttempt] });
       const note = (id: string): HolderReplyKind =>
         call(state, {
           kind: HolderCallKind.Note,
@@ -85,37 +85,45 @@
     });
   });
 
-  describe('finishes', () => {
-    // Story: a target is paused, its request goes on elsewhere, the target wakes and finishes. The
-    // caller, who reads the second attempt, must not be cut. Cause: the first answer came first.
-    it('are refused for an attempt that was replaced', () => {
+  describe('a finish', () => {
+    // A target is paused, its request continues on another target, and then the first one resumes
+    // and finishes. Accepting its answer would fail the stream of the second attempt.
+    it('is refused for an attempt that was replaced', () => {
       const state = createHolder(0);
-      noted(state);
-      const record = makeRecord({ attempts: [first] });
-      call(state, { kind: HolderCallKind.Note, record, attempt: second, previousId: 'first' });
-      assert.equal(finish(state, first).kind, HolderReplyKind.Standing);
-      assert.equal(finish(state, second).kind, HolderReplyKind.Done);
-      assert.equal(finish(state, second).kind, HolderReplyKind.Done);
+      noteFirstAttempt(state);
+      const record = makeRecord({ attempts: [firstAttempt] });
+      call(state, {
+        kind: HolderCallKind.Note,
+        record,
+        attempt: secondAttempt,
+        previousId: 'first',
+      });
+      assert.equal(finish(state, firstAttempt).kind, HolderReplyKind.Standing);
+      assert.equal(finish(state, secondAttempt).kind, HolderReplyKind.Done);
+      assert.equal(finish(state, secondAttempt).kind, HolderReplyKind.Done);
     });
 
-    it('of a later attempt replace an answer that is not committed, and no other', () => {
+    it('of a later attempt replaces an uncommitted answer, but not a committed one', () => {
       const state = createHolder(0);
-      noted(state);
-      finish(state, first);
-      assert.equal(finish(state, second).kind, HolderReplyKind.Done);
-      const committed = makeRecord({ attempts: [second], answer: makeAnswer(second, 0) });
+      noteFirstAttempt(state);
+      finish(state, firstAttempt);
+      assert.equal(finish(state, secondAttempt).kind, HolderReplyKind.Done);
+      const committed = makeRecord({
+        attempts: [secondAttempt],
+        answer: makeAnswer(secondAttempt, 0),
+      });
       call(state, { kind: HolderCallKind.Restore, record: committed });
       const third = makeAttempt('third', { number: 3 });
       assert.equal(finish(state, third).kind, HolderReplyKind.Standing);
     });
 
-    it('are taken by a holder that has lost the record', () => {
-      assert.equal(finish(createHolder(0), first).record?.answer?.attemptId, 'first');
+    it('is accepted by a holder that has lost the record', () => {
+      assert.equal(finish(createHolder(0), firstAttempt).record?.answer?.attemptId, 'first');
     });
   });
 
   describe('bounds', () => {
-    it('refuse new records when full and still take the ends of the accepted ones', () => {
+    it('refuse new records when full but accept the answers of existing ones', () => {
       const state = createHolder(0);
       const options = { ...DEFAULT_HOLDER_OPTIONS, maxRecords: 2 };
       const kinds = ['a', 'b', 'c'].map((keyText) => {
@@ -124,12 +132,12 @@
       });
       assert.deepEqual(kinds, [HolderReplyKind.Done, HolderReplyKind.Done, HolderReplyKind.Full]);
       const record = makeRecord({ keyText: 'a' });
-      const answer = makeAnswer(first);
+      const answer = makeAnswer(firstAttempt);
       const end: HolderCall = { kind: HolderCallKind.Finish, record, answer, failure: null };
       assert.equal(handleHolderCall(state, end, options, 0).kind, HolderReplyKind.Done);
     });
 
-    it('keep bytes back for ends', () => {
+    it('reserve bytes for answers', () => {
       const state = createHolder(0);
       const options = { ...DEFAULT_HOLDER_OPTIONS, maxBytes: 1300, createBytesRatio: 0.5 };
       const kinds = ['a', 'b'].map((keyText) => {
@@ -139,7 +147,7 @@
       assert.deepEqual(kinds, [HolderReplyKind.Done, HolderReplyKind.Full]);
     });
 
-    it('drop a record after its time only', () => {
+    it('drop a record only after it has expired', () => {
       const state = createHolder(0);
       create(state, makeRecord());
       const { unfinishedRetentionMs } = DEFAULT_HOLDER_OPTIONS;
@@ -153,11 +161,11 @@
 });
 
 describe('repair', () => {
-  const elsewhere = (): readonly string[] => ['b', 'c'];
+  const holdersElsewhere = (): readonly string[] => ['b', 'c'];
   const { handoverGraceMs } = DEFAULT_REPAIR_OPTIONS;
 
   function tick(repair: RepairState, state: HolderState, nowMs: number): number {
-    const sends = tickRepair(repair, state, 'a', elsewhere, DEFAULT_REPAIR_OPTIONS, nowMs);
+    const sends = tickRepair(repair, state, 'a', holdersElsewhere, DEFAULT_REPAIR_OPTIONS, nowMs);
     return sends.length;
   }
 
@@ -171,36 +179,36 @@
     const restore = (record: RequestRecord): void => {
       call(state, { kind: HolderCallKind.Restore, record }, nowMs);
     };
-    for (const from of elsewhere()) {
+    for (const from of holdersElsewhere()) {
       const options = DEFAULT_REPAIR_OPTIONS;
       const answer = { from, keyText: 'key', reply, restore, options, nowMs };
-      onRepairReply(repair, state, 'a', elsewhere, answer);
+      onRepairReply(repair, state, 'a', holdersElsewhere, answer);
     }
   }
 
-  // Story: members change twice; the acknowledgement of the first, older copy comes late. The
-  // answer, which only the second copy has, was told and must not be dropped. Cause: the late
-  // acknowledgement counted for the second copy.
-  it('does not take a late acknowledgement of an older copy for the newer one’s', () => {
+  // The membership changes twice, and the acknowledgement of the first, older copy arrives late. If
+  // it counted for the second copy, which alone has the delivered answer, that copy would be
+  // dropped.
+  it('does not count a late acknowledgement of an older copy for a newer one', () => {
     const state = createHolder(0);
     const repair = createRepair();
-    noted(state);
-    finish(state, first);
+    noteFirstAttempt(state);
+    finish(state, firstAttempt);
     scheduleRepair(repair, state, 0);
     tick(repair, state, handoverGraceMs);
-    acknowledge(repair, state, makeRecord({ attempts: [first] }), handoverGraceMs);
+    acknowledge(repair, state, makeRecord({ attempts: [firstAttempt] }), handoverGraceMs);
     assert.equal(state.records.size, 1);
   });
 
-  // Story: after a change two members each believe the other holds the key. Each acknowledges and
-  // each drops: the told answer is gone. Cause: views agree only some time after a change.
-  it('keeps a copy that belongs elsewhere until members have not changed for the grace', () => {
+  // Views of the membership differ for some time after a change, and two members can each regard
+  // the other as the holder. Each acknowledges and drops its copy, and a delivered answer is lost.
+  it('keeps a copy that belongs elsewhere until the membership is stable for the grace period', () => {
     const state = createHolder(0);
     const repair = createRepair();
-    noted(state);
+    noteFirstAttempt(state);
     scheduleRepair(repair, state, 0);
     assert.equal(tick(repair, state, 0), 2);
-    const copy = makeRecord({ attempts: [first] });
+    const copy = makeRecord({ attempts: [firstAttempt] });
     acknowledge(repair, state, copy, 10);
     assert.equal(state.records.size, 1);
     assert.equal(tick(repair, state, handoverGraceMs), 2);
@@ -208,24 +216,28 @@
     assert.equal(state.records.size, 0);
   });
 
-  // Story: two holders restore each other's copies once a second for ever; nothing is seen but the
-  // traffic. Cause: each copy that came counted as a change that the other must have.
-  it('does not count a copy that brings nothing as a change', () => {
+  // If a received copy without new data counted as a change that the other holder needs, two
+  // holders would restore each other's copies once a second without end.
+  it('does not treat a copy without new data as a change', () => {
     const state = createHolder(0);
-    noted(state);
+    noteFirstAttempt(state);
     const before = state.records.get('key')?.record;
-    call(state, { kind: HolderCallKind.Restore, record: makeRecord({ attempts: [first] }) }, 5);
+    call(
+      state,
+      { kind: HolderCallKind.Restore, record: makeRecord({ attempts: [firstAttempt] }) },
+      5,
+    );
     assert.equal(state.records.get('key')?.record, before);
   });
 
-  // Story: a sidecar's view is old; it commits an answer at members that hold the key to it alone.
-  // Their own view never changes, so nothing moved the record, and a resend ran anew. Cause: repair
-  // began only with a change of members.
-  it('hands on what a member was given and should not hold', () => {
+  // A sidecar with an outdated view commits an answer at members that are no longer holders. If
+  // repair started only with a membership change, which they do not see, the record would never
+  // reach the current holders, and a retry would run the request again.
+  it('forwards a record that a member received but should not hold', () => {
     const holder = createHolder(0);
     const repair = createRepair();
-    const place = { holder, repair, selfId: 'a', holdersOfKey: elsewhere };
-    const record = makeRecord({ attempts: [first], answer: makeAnswer(first, 0) });
+    const place = { holder, repair, selfId: 'a', holdersOfKey: holdersElsewhere };
+    const record = makeRecord({ attempts: [firstAttempt], answer: makeAnswer(firstAttempt, 0) });
     const restore: HolderCall = { kind: HolderCallKind.Restore, record };
     handleHolderCallAt(place, restore, DEFAULT_HOLDER_OPTIONS, 0);
     assert.equal(tick(repair, holder, 0), 2);
@@ -233,7 +245,7 @@
     assert.deepEqual(repair.queue, []);
   });
 
-  it('is paced', () => {
+  it('is limited to a number of records per tick', () => {
     const state = createHolder(0);
     for (let index = 0; index < 5; index += 1) {
       create(state, makeRecord({ keyText: `key-${String(index)}` }));
@@ -241,7 +253,7 @@
     const repair = createRepair();
     scheduleRepair(repair, state, 0);
     const options = { ...DEFAULT_REPAIR_OPTIONS, repairsPerTick: 2 };
-    assert.equal(tickRepair(repair, state, 'a', elsewhere, options, 0).length, 4);
+    assert.equal(tickRepair(repair, state, 'a', holdersElsewhere, options, 0).length, 4);
     assert.equal(repair.queue.length, 3);
   });
 });
--- a/packages/coordination/test/core/records/host.test.ts
+++ b/packages/coordination/test/core/records/host.test.ts
@@ -1,4 +1,4 @@
-/** The sidecar's attempt machine and its dispatch sessions. */
+/** Tests for the state machine that hosts attempts in a sidecar, and for its dispatch sessions. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import {
@@ -34,13 +34,13 @@
 } from '../../../src/core/records/sessions.js';
 import { makeAnswer, makeAttempt, makeRecord } from '../../fixtures/requests.js';
 
-interface Bench {
+interface Harness {
   readonly state: HostState;
   readonly feed: (event: HostEvent, nowMs?: number) => readonly HostEffect[];
   readonly context: (nowMs?: number) => HostContext;
 }
 
-function bench(options: Partial<HostOptions> = {}): Bench {
+function createHarness(options: Partial<HostOptions> = {}): Harness {
   const state = createHost('sidecar-1', 'target-1', 's1');
   const context = (nowMs = 0): HostContext => ({
     nowMs,
@@ -54,7 +54,7 @@
   return { state, feed, context };
 }
 
-function dispatchOf(attempt: Attempt, overrides: Partial<DispatchMessage> = {}): HostEvent {
+function makeDispatch(attempt: Attempt, overrides: Partial<DispatchMessage> = {}): HostEvent {
   const message: DispatchMessage = {
     attempt,
     record: makeRecord({ keyText: attempt.id, attempts: [attempt] }),
@@ -66,7 +66,7 @@
   return { kind: HostEventKind.Dispatched, attachId: `to-${attempt.id}`, message };
 }
 
-function starts(effects: readonly HostEffect[]): number {
+function countStarts(effects: readonly HostEffect[]): number {
   return effects.filter((effect) => effect.kind === HostEffectKind.StartEngine).length;
 }
 
@@ -77,20 +77,20 @@
 
 const attempt = makeAttempt('a1');
 
-function finishAt(host: Bench, nowMs: number): readonly HostEffect[] {
-  host.feed(dispatchOf(attempt));
+function finishAttemptAt(host: Harness, nowMs: number): readonly HostEffect[] {
+  host.feed(makeDispatch(attempt));
   const tokens = ['x', 'y'];
   host.feed({ kind: HostEventKind.EngineTokens, attemptId: 'a1', index: 0, tokens });
   const { ending } = makeAnswer(attempt);
   return host.feed({ kind: HostEventKind.EngineEnded, attemptId: 'a1', ending }, nowMs);
 }
 
-function replyOf(record: RequestRecord | null, kind = HolderReplyKind.Done) {
+function makeReply(record: RequestRecord | null, kind = HolderReplyKind.Done) {
   return { kind, record, retryAfterMs: 0, upForMs: 0 };
 }
 
 describe('dispatch sessions', () => {
-  it('take each number once, and none below the window', () => {
+  it('accept each sequence number once, and none below the window', () => {
     const sessions = createSessions('s1');
     const options = { maxSessions: 4, windowSize: 3 };
     const sessionId = openSession(sessions, 'entry', options);
@@ -106,7 +106,7 @@
     assert.equal(judgeSequence(undefined, 1), SequenceVerdict.NoSession);
   });
 
-  it('are bounded; what a dropped session brings late is refused', () => {
+  it('are limited in number, and a dispatch of a dropped session is refused', () => {
     const sessions = createSessions('s1');
     const options = { maxSessions: 2, windowSize: 3 };
     const first = openSession(sessions, 'entry-1', options);
@@ -120,135 +120,136 @@
 
 describe('host', () => {
   describe('a dispatch', () => {
-    it('runs once, however often it comes', () => {
-      const host = bench();
-      assert.equal(starts(host.feed(dispatchOf(attempt))), 1);
-      assert.equal(starts(host.feed(dispatchOf(attempt))), 0);
+    it('runs once when it is delivered repeatedly', () => {
+      const host = createHarness();
+      assert.equal(countStarts(host.feed(makeDispatch(attempt))), 1);
+      assert.equal(countStarts(host.feed(makeDispatch(attempt))), 0);
     });
 
-    // Story: a caller's deadline passes while its dispatch is under way; the entry takes the attempt
-    // back and says "not-run". Two minutes later the dispatch arrives and must not run. Cause: the
-    // network delays without bound.
-    it('that was taken back before it came never runs', () => {
-      const host = bench();
+    // The deadline of a caller passes while its dispatch is in flight; the entry cancels the
+    // attempt and reports "not-run". The network can deliver the dispatch two minutes later, and it
+    // must not run.
+    it('that was cancelled before it arrived never runs', () => {
+      const host = createHarness();
       const { outcome } = cancelHosted(host.state, { attempt }, host.context());
       assert.equal(outcome, CancelOutcome.NeverRuns);
-      const effects = host.feed(dispatchOf(attempt), 120_000);
-      assert.equal(starts(effects), 0);
+      const effects = host.feed(makeDispatch(attempt), 120_000);
+      assert.equal(countStarts(effects), 0);
       assert.equal(failureOf(effects), StreamFailureReason.Cancelled);
     });
 
-    it('that came cannot be taken back, and one of a former incarnation is not known', () => {
-      const host = bench();
-      host.feed(dispatchOf(attempt));
+    it('cannot be cancelled after it started, and one of an earlier incarnation is unknown', () => {
+      const host = createHarness();
+      host.feed(makeDispatch(attempt));
       const cancel = (other: Attempt): CancelOutcome =>
         cancelHosted(host.state, { attempt: other }, host.context()).outcome;
       assert.equal(cancel(attempt), CancelOutcome.Started);
       assert.equal(cancel(makeAttempt('old', { sessionId: 's0.1' })), CancelOutcome.Unknown);
     });
 
-    it('of a former incarnation’s session does not run', () => {
-      const effects = bench().feed(dispatchOf(makeAttempt('old', { sessionId: 's0.1' })));
-      assert.equal(starts(effects), 0);
+    it('in a session of an earlier incarnation does not run', () => {
+      const effects = createHarness().feed(makeDispatch(makeAttempt('old', { sessionId: 's0.1' })));
+      assert.equal(countStarts(effects), 0);
       assert.equal(failureOf(effects), StreamFailureReason.SessionRequired);
     });
 
-    it('beyond the bound is refused as busy, and so is its late copy', () => {
-      const host = bench({ maxAttempts: 1 });
-      host.feed(dispatchOf(attempt));
+    it('beyond a limit is refused as busy, and its repetition as cancelled', () => {
+      const host = createHarness({ maxAttempts: 1 });
+      host.feed(makeDispatch(attempt));
       const more = makeAttempt('a2', { sequence: 2 });
-      assert.equal(failureOf(host.feed(dispatchOf(more))), StreamFailureReason.Busy);
-      assert.equal(failureOf(host.feed(dispatchOf(more))), StreamFailureReason.Cancelled);
-      const crowded = bench({ maxBytes: 100 });
-      assert.equal(failureOf(crowded.feed(dispatchOf(attempt))), StreamFailureReason.Busy);
+      assert.equal(failureOf(host.feed(makeDispatch(more))), StreamFailureReason.Busy);
+      assert.equal(failureOf(host.feed(makeDispatch(more))), StreamFailureReason.Cancelled);
+      const crowded = createHarness({ maxBytes: 100 });
+      assert.equal(failureOf(crowded.feed(makeDispatch(attempt))), StreamFailureReason.Busy);
     });
 
-    it('whose time is over is refused as not run', () => {
-      const effects = bench().feed(dispatchOf(attempt, { remainingMs: 0 }));
+    it('without remaining time is refused as expired', () => {
+      const effects = createHarness().feed(makeDispatch(attempt, { remainingMs: 0 }));
       assert.equal(failureOf(effects), StreamFailureReason.Expired);
     });
   });
 
   describe('an answer', () => {
-    // Story: a caller reads its whole answer; the sidecar and one holder die; the resend runs anew
-    // and gets another text. Cause: the end was told before the holders had the answer.
-    it('is told as whole only once every holder has committed it', () => {
-      const host = bench();
-      finishAt(host, 0);
+    // If the end were reported before the holders have the answer, a caller could receive the whole
+    // answer, the sidecar and one holder die, and a retry run again and return another text.
+    it('ends for its readers only after every holder has committed it', () => {
+      const host = createHarness();
+      finishAttemptAt(host, 0);
       const ends = (from: string): number => {
         const event = { kind: HostEventKind.HolderReplied, attemptId: 'a1', from } as const;
-        const effects = host.feed({ ...event, reply: replyOf(null) });
+        const effects = host.feed({ ...event, reply: makeReply(null) });
         return effects.filter((effect) => effect.kind === HostEffectKind.EndStream).length;
       };
       assert.deepEqual(['a', 'b', 'a', 'b'].map(ends), [0, 0, 0, 1]);
     });
 
-    // Story: as above, but a holder is slow: it was asked twice to take the answer, and its second
-    // reply comes after the mark was sent. The end is told while no holder has the mark, and another
-    // run's answer may take its place. Cause: any reply counted for the call that was under way.
-    it('is not told for late replies to the call before the mark', () => {
-      const host = bench();
-      finishAt(host, 0);
+    // A slow holder was called twice with the answer, and its second reply arrives after the commit
+    // mark was sent. If any reply counted for the current call, the end would be reported while no
+    // holder has the mark, and the answer of another run could replace this one.
+    it('does not end for late replies to the call before the commit mark', () => {
+      const host = createHarness();
+      finishAttemptAt(host, 0);
       const unmarked = makeRecord({ answer: makeAnswer(makeAttempt('a1')) });
       const ends = (from: string): number => {
         const event = { kind: HostEventKind.HolderReplied, attemptId: 'a1', from } as const;
-        const effects = host.feed({ ...event, reply: replyOf(unmarked) });
+        const effects = host.feed({ ...event, reply: makeReply(unmarked) });
         return effects.filter((effect) => effect.kind === HostEffectKind.EndStream).length;
       };
       assert.deepEqual(['a', 'b', 'a', 'b'].map(ends), [0, 0, 0, 0]);
     });
 
-    // Guards against a sidecar that stops between the end of an answer and its being told.
-    it('is open until the holders have it', () => {
-      const host = bench();
-      finishAt(host, 0);
+    // A sidecar must not stop between the end of an answer and the report of this end.
+    it('is open until the holders have committed it', () => {
+      const host = createHarness();
+      finishAttemptAt(host, 0);
       const open = ['a', 'b', 'a', 'b'].map((from) => {
         const before = openAttempts(host.state).length;
         const event = { kind: HostEventKind.HolderReplied, attemptId: 'a1', from } as const;
-        host.feed({ ...event, reply: replyOf(null) });
+        host.feed({ ...event, reply: makeReply(null) });
         return before;
       });
       assert.deepEqual([...open, openAttempts(host.state).length], [1, 1, 1, 1, 0]);
     });
 
-    // Guards against a sidecar that stops before a slow reader has had the end of its answer.
-    it('is open until its readers have had it', () => {
-      const host = bench();
+    // A sidecar must not stop before a slow reader has received the end of its answer.
+    it('is open until its readers have received it', () => {
+      const host = createHarness();
       const reader = { attachId: 'to-a1' };
-      finishAt(host, 0);
+      finishAttemptAt(host, 0);
       host.feed({ kind: HostEventKind.ReaderPaused, ...reader });
       for (const from of ['a', 'b', 'a', 'b']) {
         const event = { kind: HostEventKind.HolderReplied, attemptId: 'a1', from } as const;
-        host.feed({ ...event, reply: replyOf(null) });
+        host.feed({ ...event, reply: makeReply(null) });
       }
       assert.equal(openAttempts(host.state).length, 1);
       host.feed({ kind: HostEventKind.ReaderResumed, ...reader });
       assert.equal(openAttempts(host.state).length, 0);
     });
 
-    it('that another one preceded is not told; the reader learns what stands', () => {
-      const host = bench();
-      finishAt(host, 0);
+    it('that conflicts with a stored answer fails as superseded', () => {
+      const host = createHarness();
+      finishAttemptAt(host, 0);
       const standing = makeRecord({ answer: makeAnswer(makeAttempt('other')) });
-      const reply = replyOf(standing, HolderReplyKind.Standing);
+      const reply = makeReply(standing, HolderReplyKind.Standing);
       const event = { kind: HostEventKind.HolderReplied, attemptId: 'a1', from: 'a' } as const;
       assert.equal(failureOf(host.feed({ ...event, reply })), StreamFailureReason.Superseded);
     });
 
-    // Story: the link from the sidecar to one holder is cut one way; membership reaches it through
-    // others, so it counts as alive. The caller has the whole text and waits for its end for ever.
-    it('that cannot be committed from here is handed to its readers after a wait', () => {
-      const host = bench();
-      finishAt(host, 0);
+    // The link from the sidecar to one holder is cut in one direction, but the membership protocol
+    // still reaches the holder through other members and regards it as alive. The caller would have
+    // the whole text and wait for its end without limit.
+    it('that the sidecar cannot commit is handed to its readers after a timeout', () => {
+      const host = createHarness();
+      finishAttemptAt(host, 0);
       const { commitPatienceMs } = DEFAULT_HOST_OPTIONS;
       assert.equal(failureOf(host.feed({ kind: HostEventKind.Tick }, commitPatienceMs - 1)), null);
       const effects = host.feed({ kind: HostEventKind.Tick }, commitPatienceMs);
       assert.equal(failureOf(effects), StreamFailureReason.Superseded);
     });
 
-    it('waits for a paused reader in the one copy that is kept', () => {
-      const host = bench();
-      host.feed(dispatchOf(attempt));
+    it('stays in the shared buffer while a reader is paused', () => {
+      const host = createHarness();
+      host.feed(makeDispatch(attempt));
       host.feed({ kind: HostEventKind.ReaderPaused, attachId: 'to-a1' });
       const tokens = ['x', 'y'];
       const event = {
@@ -264,9 +265,9 @@
       ]);
     });
 
-    it('longer than the bound ends the stream', () => {
-      const host = bench({ maxAnswerTokens: 1 });
-      host.feed(dispatchOf(attempt));
+    it('longer than the limit fails the stream', () => {
+      const host = createHarness({ maxAnswerTokens: 1 });
+      host.feed(makeDispatch(attempt));
       const tokens = ['x', 'y'];
       const event = {
         kind: HostEventKind.EngineTokens,
@@ -280,64 +281,66 @@
 
   describe('lone runs', () => {
     const lone = makeAttempt('lone', { alone: true, sequence: 2 });
-    const check = (host: Bench, stands: boolean): readonly HostEffect[] =>
-      host.feed({ kind: HostEventKind.LoneRunChecked, attemptId: 'lone', stands });
+    const check = (host: Harness, stands: boolean): readonly HostEffect[] =>
+      host.feed({ kind: HostEventKind.LoneRunChecked, attemptId: 'lone', stands: stands });
 
-    // Story: a lone run's dispatch waits in a paused sidecar; its place goes to another, which
-    // crashes, and the content is convicted. The sidecar wakes and loses a third target. Cause: the
-    // dispatch was still good by itself.
+    // The dispatch of a lone run waits in a paused sidecar. Meanwhile its slot goes to another run,
+    // which crashes, and the content is convicted. Without a check of the ledger, the resumed
+    // sidecar would still start the run and lose a third target.
     it('start only while the ledger names them', () => {
-      const host = bench();
-      const effects = host.feed(dispatchOf(lone));
+      const host = createHarness();
+      const effects = host.feed(makeDispatch(lone));
       assert.ok(effects.some((effect) => effect.kind === HostEffectKind.CheckLoneRun));
       assert.equal(failureOf(check(host, false)), StreamFailureReason.Cancelled);
-      assert.equal(starts(check(host, true)), 0);
+      assert.equal(countStarts(check(host, true)), 0);
     });
 
-    it('wait until nothing else runs, and keep others out meanwhile', () => {
-      const host = bench();
-      host.feed(dispatchOf(attempt));
-      assert.equal(starts(host.feed(dispatchOf(lone))), 0);
-      const other = dispatchOf(makeAttempt('a3', { sequence: 3 }));
+    it('wait until nothing else runs, and block other attempts meanwhile', () => {
+      const host = createHarness();
+      host.feed(makeDispatch(attempt));
+      assert.equal(countStarts(host.feed(makeDispatch(lone))), 0);
+      const other = makeDispatch(makeAttempt('a3', { sequence: 3 }));
       assert.equal(failureOf(host.feed(other)), StreamFailureReason.Busy);
       const failed = { kind: HostEventKind.EngineStreamFailed, attemptId: 'a1' } as const;
       host.feed({ ...failed, mayHaveRun: true });
-      assert.equal(starts(check(host, true)), 1);
+      assert.equal(countStarts(check(host, true)), 1);
     });
 
-    // Story: a sidecar restarts while its engine works on; a suspect is sent to it and crashes the
-    // engine with streams that nobody counted. Cause: the new sidecar knew only its own attempts.
-    it('wait for streams that a former incarnation left in the engine', () => {
-      const host = bench();
+    // A sidecar restarts while its engine keeps running. If it counted only its own attempts, a
+    // suspect could start and crash the engine together with the streams of the earlier
+    // incarnation.
+    it('wait for streams that an earlier incarnation left in the engine', () => {
+      const host = createHarness();
       const inherit = (count: number): readonly HostEffect[] =>
         host.feed({
           kind: HostEventKind.EngineInherited,
           inherited: { count, mayBeLone: false },
         });
       inherit(1);
-      assert.equal(starts(host.feed(dispatchOf(lone))), 0);
-      assert.equal(starts(check(host, true)), 0);
+      assert.equal(countStarts(host.feed(makeDispatch(lone))), 0);
+      assert.equal(countStarts(check(host, true)), 0);
       inherit(0);
-      assert.equal(starts(check(host, true)), 1);
+      assert.equal(countStarts(check(host, true)), 1);
     });
 
-    // Story: two suspects want the lone run of their service; each, asked after before it arrives,
-    // is forbidden for the other's sake, and none ever runs. Cause: no grace for what is under way.
-    it('that do not come within the grace give way, and then never run', () => {
-      const host = bench();
+    // Two suspects compete for the lone run of their service. Without a grace period for dispatches
+    // in flight, each would be probed before it arrives and forbidden in favor of the other, and
+    // neither would ever run.
+    it('that do not arrive within the grace period never run', () => {
+      const host = createHarness();
       const message = { attemptId: 'lone', sidecarIncarnation: 's1' };
       const { loneRunGraceMs } = DEFAULT_HOST_OPTIONS;
       const probe = (nowMs: number): LoneProbe =>
         probeLoneRun(host.state, message, host.context(nowMs));
       assert.equal(probe(0), LoneProbe.Running);
       assert.equal(probe(loneRunGraceMs), LoneProbe.Over);
-      assert.equal(starts(host.feed(dispatchOf(lone), loneRunGraceMs + 1)), 0);
+      assert.equal(countStarts(host.feed(makeDispatch(lone), loneRunGraceMs + 1)), 0);
     });
 
-    it('are told apart: running, crashed, and gone with a former incarnation', () => {
-      const host = bench();
+    it('are reported as running, crashed, or gone with an earlier incarnation', () => {
+      const host = createHarness();
       const message = { attemptId: 'lone', sidecarIncarnation: 's1' };
-      host.feed(dispatchOf(lone));
+      host.feed(makeDispatch(lone));
       check(host, true);
       assert.equal(probeLoneRun(host.state, message, host.context()), LoneProbe.Running);
       host.feed({ kind: HostEventKind.EngineCrashed });
@@ -348,28 +351,28 @@
   });
 
   describe('a crash of the engine', () => {
-    it('makes each running content a suspect, at the holders and for the ledger', () => {
-      const host = bench();
-      host.feed(dispatchOf(attempt));
+    it('marks each running content as suspect at the holders and in the ledger', () => {
+      const host = createHarness();
+      host.feed(makeDispatch(attempt));
       const effects = host.feed({ kind: HostEventKind.EngineCrashed });
       assert.equal(failureOf(effects), StreamFailureReason.EngineCrashed);
       const kinds = effects.map((effect) => effect.kind);
       assert.equal(kinds.filter((kind) => kind === HostEffectKind.CallHolder).length, 2);
       assert.ok(kinds.includes(HostEffectKind.ReportCrash));
-      const again = dispatchOf(makeAttempt('a2', { sequence: 2 }));
+      const again = makeDispatch(makeAttempt('a2', { sequence: 2 }));
       assert.equal(failureOf(host.feed(again)), StreamFailureReason.Suspected);
     });
 
-    // Story: a sidecar is paused while its engine crashes and restarts. It wakes, starts a request,
-    // then hears of the crash and takes that request for crashed; a suspect is started beside it.
-    // Cause: the news of the crash were older than the start.
-    it('that is heard of late leaves nothing running unseen', () => {
-      const host = bench();
-      host.feed(dispatchOf(attempt));
+    // A sidecar is paused while its engine crashes and restarts. It resumes, starts a request, and
+    // only then receives the report of the crash, which is older than the start. It would mark the
+    // request as crashed although it runs, and start a suspect beside it.
+    it('that is reported late leaves no untracked attempt running', () => {
+      const host = createHarness();
+      host.feed(makeDispatch(attempt));
       const effects = host.feed({ kind: HostEventKind.EngineCrashed });
       assert.ok(effects.some((effect) => effect.kind === HostEffectKind.CancelEngine));
       const lone = makeAttempt('lone', { alone: true, sequence: 2 });
-      assert.equal(starts(host.feed(dispatchOf(lone))), 0);
+      assert.equal(countStarts(host.feed(makeDispatch(lone))), 0);
     });
   });
 });
