--- a/packages/coordination/src/core/outliers/outliers.ts
+++ b/packages/coordination/src/core/outliers/outliers.ts
@@ -1,33 +1,34 @@
 /**
- * Ejection of targets that fail or are slow, as seen by one entry's own requests. Slowness is the
- * time that a target took over the time that routing predicted, compared with the middle target of
- * the service: a fleet that is slow as a whole ejects nobody. Never more than a part of the targets
- * is ejected; an ejected target comes back on probation, with a trickle of requests.
+ * Outlier ejection of targets that fail or are slow, based on the requests of one entry. Slowness
+ * is the time that a target took divided by the time that routing predicted. It is compared with
+ * the median of the service, so no target is ejected when the whole fleet is slow. Only a limited
+ * share of the targets is ejected at a time. An ejected target returns on probation with a small
+ * share of requests.
  */
 import { EventKind } from '../events/event.js';
 import type { UnstampedEvent } from '../events/event.js';
 import type { Random } from '../random/random.js';
 
-/** What ejection goes by; reasons in docs/design/routing.md. */
+/** Options of outlier ejection; docs/design/routing.md gives the reasons. */
 export interface OutlierOptions {
   readonly service: string;
-  /** Failures in a row that eject. */
+  /** Number of consecutive failures after which a target is ejected. */
   readonly failuresInARow: number;
-  /** Slowness over that of the middle target that ejects. */
+  /** Ratio of a target's slowness to the median above which it is ejected. */
   readonly slowRatio: number;
-  /** Answers that a judgement of slowness rests on. */
+  /** Minimum number of answers before a target's slowness is evaluated. */
   readonly minSamples: number;
-  /** Most of the targets that are out at once, 0 to 1. */
+  /** Maximum share of the targets that are ejected at the same time, 0 to 1. */
   readonly maxEjectedShare: number;
   readonly baseEjectionMs: number;
   readonly maxEjectionMs: number;
-  /** Part of requests that a target on probation is weighed for. */
+  /** Share of requests for which a target on probation is a candidate, 0 to 1. */
   readonly probationShare: number;
-  /** Good answers that end probation. */
+  /** Number of successful answers that end the probation. */
   readonly probationAnswers: number;
 }
 
-/** Defaults. */
+/** Default options of outlier ejection. */
 export const DEFAULT_OUTLIER_OPTIONS = {
   failuresInARow: 5,
   slowRatio: 3,
@@ -46,30 +47,30 @@
   samples: number;
   ejectedUntilMs: number;
   timesEjected: number;
-  /** Good answers still wanted; 0 when not on probation. */
-  probationLeft: number;
+  /** Successful answers that still have to arrive; 0 when not on probation. */
+  probationAnswersLeft: number;
 }
 
-/** Health of the targets of one service at one entry. */
+/** Health of the targets of one service, as seen by one entry. */
 export interface Outliers {
   readonly options: OutlierOptions;
   readonly targets: Map<string, TargetHealth>;
-  /** Those that are out or on probation, so that a request costs nothing for healthy ones. */
-  readonly troubled: Set<string>;
+  /** Targets that are ejected or on probation; selecting a target checks only these. */
+  readonly restricted: Set<string>;
 }
 
-/** Makes a state without targets. */
+/** Creates a state without targets. */
 export function createOutliers(options: OutlierOptions): Outliers {
-  return { options, targets: new Map(), troubled: new Set() };
+  return { options, targets: new Map(), restricted: new Set() };
 }
 
-/** Follows the set of targets; those that left are forgotten, which bounds the state. */
+/** Sets the current targets. Targets that left are removed, which bounds the state. */
 export function noteOutlierTargets(outliers: Outliers, names: readonly string[]): void {
-  const present = new Set(names);
+  const currentNames = new Set(names);
   for (const name of outliers.targets.keys()) {
-    if (present.has(name)) continue;
+    if (currentNames.has(name)) continue;
     outliers.targets.delete(name);
-    outliers.troubled.delete(name);
+    outliers.restricted.delete(name);
   }
   for (const name of names) {
     if (!outliers.targets.has(name)) outliers.targets.set(name, newHealth());
@@ -83,14 +84,14 @@
     samples: 0,
     ejectedUntilMs: 0,
     timesEjected: 0,
-    probationLeft: 0,
+    probationAnswersLeft: 0,
   };
 }
 
-/** Weight of the newest answer in a target's slowness. */
-const NEWEST_WEIGHT = 0.1;
+/** Weight of the latest answer in the moving average of a target's slowness. */
+const NEWEST_SAMPLE_WEIGHT = 0.1;
 
-/** Takes in an answer that came: its time over the predicted time, 1 when as predicted. */
+/** Records an answer. `slowness` is its time divided by the predicted time, 1 when as predicted. */
 export function noteAnswer(
   outliers: Outliers,
   target: string,
@@ -101,18 +102,18 @@
   if (health === undefined) return [];
   health.failuresInARow = 0;
   health.samples += 1;
-  const weight = Math.max(NEWEST_WEIGHT, 1 / health.samples);
+  const weight = Math.max(NEWEST_SAMPLE_WEIGHT, 1 / health.samples);
   health.slowness += (slowness - health.slowness) * weight;
   const isSlow =
     health.samples >= outliers.options.minSamples &&
-    health.slowness > middleSlowness(outliers) * outliers.options.slowRatio;
+    health.slowness > medianSlowness(outliers) * outliers.options.slowRatio;
   if (isSlow) return eject(outliers, target, health, nowMs, 'answers are slow');
-  // Answers to requests from before the ejection still come; they prove nothing of the time after.
+  // Answers to requests sent before the ejection still arrive; they do not show that it recovered.
   if (health.ejectedUntilMs > nowMs) return [];
   return passProbation(outliers, target, health);
 }
 
-/** Takes in a failure that the target is to blame for. */
+/** Records a failure caused by the target. */
 export function noteTargetFailure(
   outliers: Outliers,
   target: string,
@@ -121,9 +122,9 @@
   const health = outliers.targets.get(target);
   if (health === undefined) return [];
   health.failuresInARow += 1;
-  const enough =
-    health.probationLeft > 0 || health.failuresInARow >= outliers.options.failuresInARow;
-  return enough ? eject(outliers, target, health, nowMs, 'requests fail') : [];
+  const isOverLimit =
+    health.probationAnswersLeft > 0 || health.failuresInARow >= outliers.options.failuresInARow;
+  return isOverLimit ? eject(outliers, target, health, nowMs, 'requests fail') : [];
 }
 
 function passProbation(
@@ -131,19 +132,19 @@
   target: string,
   health: TargetHealth,
 ): readonly UnstampedEvent[] {
-  if (health.probationLeft === 0) return [];
-  health.probationLeft -= 1;
-  if (health.probationLeft > 0) return [];
-  outliers.troubled.delete(target);
+  if (health.probationAnswersLeft === 0) return [];
+  health.probationAnswersLeft -= 1;
+  if (health.probationAnswersLeft > 0) return [];
+  outliers.restricted.delete(target);
   return [{ kind: EventKind.TargetReadmitted, service: outliers.options.service, target }];
 }
 
-function middleSlowness(outliers: Outliers): number {
-  const known = [...outliers.targets.values()]
+function medianSlowness(outliers: Outliers): number {
+  const sorted = [...outliers.targets.values()]
     .filter((health) => health.samples >= outliers.options.minSamples)
     .map((health) => health.slowness)
     .sort((a, b) => a - b);
-  return known[Math.floor((known.length - 1) / 2)] ?? 1;
+  return sorted[Math.floor((sorted.length - 1) / 2)] ?? 1;
 }
 
 function eject(
@@ -155,34 +156,36 @@
 ): readonly UnstampedEvent[] {
   const { options } = outliers;
   if (health.ejectedUntilMs > nowMs) return [];
-  const out = [...outliers.targets.values()].filter((other) => other.ejectedUntilMs > nowMs);
-  // Guards against ejecting a whole fleet for a fault of our own, such as a partition of this
-  // entry: it shows as failures everywhere at once, and the bound leaves most targets in.
-  if (out.length + 1 > outliers.targets.size * options.maxEjectedShare) return [];
+  const ejectedTargets = [...outliers.targets.values()].filter(
+    (other) => other.ejectedUntilMs > nowMs,
+  );
+  // Limits the share of ejected targets. Without this, a fault of this entry, such as a network
+  // partition, makes all targets fail at once and ejects the whole fleet.
+  if (ejectedTargets.length + 1 > outliers.targets.size * options.maxEjectedShare) return [];
   const forMs = Math.min(options.maxEjectionMs, options.baseEjectionMs * 2 ** health.timesEjected);
   health.timesEjected += 1;
-  outliers.troubled.add(target);
+  outliers.restricted.add(target);
   health.ejectedUntilMs = nowMs + forMs;
-  health.probationLeft = options.probationAnswers;
+  health.probationAnswersLeft = options.probationAnswers;
   health.failuresInARow = 0;
-  const figures = { slowness: health.slowness, forMs, alsoOut: out.length };
+  const figures = { slowness: health.slowness, forMs, alsoOut: ejectedTargets.length };
   health.samples = 0;
   health.slowness = 1;
   return [{ kind: EventKind.TargetEjected, service: options.service, target, reason, figures }];
 }
 
-/** Targets that the next request must not be sent to. */
+/** Returns the targets to which the next request must not be sent. */
 export function excludedTargets(
   outliers: Outliers,
   nowMs: number,
   random: Random,
 ): ReadonlySet<string> {
   const excluded = new Set<string>();
-  for (const name of outliers.troubled) {
+  for (const name of outliers.restricted) {
     const health = outliers.targets.get(name);
     if (health === undefined) continue;
     if (health.ejectedUntilMs > nowMs) excluded.add(name);
-    else if (health.probationLeft > 0 && random() >= outliers.options.probationShare) {
+    else if (health.probationAnswersLeft > 0 && random() >= outliers.options.probationShare) {
       excluded.add(name);
     }
   }
--- a/packages/coordination/test/core/outliers/outliers.test.ts
+++ b/packages/coordination/test/core/outliers/outliers.test.ts
@@ -1,4 +1,4 @@
-/** Outlier ejection: dead and slow targets, and its bounds. */
+/** Outlier ejection of failing and slow targets, and its limits. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import {
@@ -15,21 +15,21 @@
 
 const NAMES = ['a', 'b', 'c', 'd', 'e', 'f'];
 
-function fleet(): Outliers {
+function createFleet(): Outliers {
   const outliers = createOutliers({ ...DEFAULT_OUTLIER_OPTIONS, service: 's' });
   noteOutlierTargets(outliers, NAMES);
   return outliers;
 }
 
-function failUntilOut(outliers: Outliers, target: string): void {
+function failUntilEjected(outliers: Outliers, target: string): void {
   for (let count = 0; count < 5; count += 1) noteTargetFailure(outliers, target, 0);
 }
 
 describe('outliers', () => {
-  describe('a dead target', () => {
-    it('is out after five failures in a row, then on probation, then back', () => {
-      const outliers = fleet();
-      failUntilOut(outliers, 'a');
+  describe('a failing target', () => {
+    it('is ejected after five consecutive failures, then on probation, then readmitted', () => {
+      const outliers = createFleet();
+      failUntilEjected(outliers, 'a');
       assert.deepEqual([...excludedTargets(outliers, 100, () => 0)], ['a']);
       assert.deepEqual([...excludedTargets(outliers, 5001, () => 0)], []);
       assert.deepEqual([...excludedTargets(outliers, 5001, () => 0.5)], ['a']);
@@ -38,20 +38,21 @@
       assert.deepEqual([...excludedTargets(outliers, 5002, () => 0.5)], []);
     });
 
-    it('is out for twice as long when it fails on probation', () => {
-      const outliers = fleet();
-      failUntilOut(outliers, 'a');
+    it('is ejected for twice as long when it fails on probation', () => {
+      const outliers = createFleet();
+      failUntilEjected(outliers, 'a');
       noteTargetFailure(outliers, 'a', 5001);
       assert.equal(excludedTargets(outliers, 15_000, () => 0).has('a'), true);
     });
   });
 
   describe('an ejected target', () => {
-    // The answers to requests that ran when it was ejected come in a bunch. Counted as probation,
-    // they would bring the target back at once with its full share.
-    it('is not readmitted by answers to old requests', () => {
-      const outliers = fleet();
-      failUntilOut(outliers, 'a');
+    // Answers to requests that were in flight at the ejection arrive together. If they counted
+    // towards the probation, the target would be readmitted at once with its full share of
+    // requests.
+    it('is not readmitted by answers to requests sent before the ejection', () => {
+      const outliers = createFleet();
+      failUntilEjected(outliers, 'a');
       for (let count = 0; count < 9; count += 1) noteAnswer(outliers, 'a', 1, 100);
       assert.equal(excludedTargets(outliers, 200, () => 0).has('a'), true);
       assert.equal(excludedTargets(outliers, 5001, () => 0.5).has('a'), true);
@@ -59,16 +60,16 @@
   });
 
   describe('a slow target', () => {
-    it('is out when it is far slower than the middle one', () => {
-      const outliers = fleet();
+    it('is ejected when it is far slower than the median', () => {
+      const outliers = createFleet();
       for (let count = 0; count < 25; count += 1) {
         for (const name of NAMES) noteAnswer(outliers, name, name === 'b' ? 5 : 1, 0);
       }
       assert.deepEqual([...excludedTargets(outliers, 1, seededRandom(1))], ['b']);
     });
 
-    it('stays when all are slow alike', () => {
-      const outliers = fleet();
+    it('is not ejected when all targets are equally slow', () => {
+      const outliers = createFleet();
       for (let count = 0; count < 25; count += 1) {
         for (const name of NAMES) noteAnswer(outliers, name, 5, 0);
       }
@@ -76,19 +77,19 @@
     });
   });
 
-  describe('a fault of our own', () => {
-    // This entry is cut off from everything: each target seems to fail. Were all ejected, the
-    // service would be down for seconds after the cut is over.
+  describe('a fault of the entry itself', () => {
+    // When this entry is partitioned from the network, all targets seem to fail. If all were
+    // ejected, the service would stay unavailable for seconds after the partition heals.
     it('ejects no more than a third of the targets', () => {
-      const outliers = fleet();
-      for (const name of NAMES) failUntilOut(outliers, name);
+      const outliers = createFleet();
+      for (const name of NAMES) failUntilEjected(outliers, name);
       assert.equal(excludedTargets(outliers, 1, () => 0).size, 2);
     });
   });
 
-  it('forgets targets that left', () => {
-    const outliers = fleet();
-    failUntilOut(outliers, 'a');
+  it('removes targets that left', () => {
+    const outliers = createFleet();
+    failUntilEjected(outliers, 'a');
     noteOutlierTargets(outliers, ['b']);
     assert.equal(outliers.targets.size, 1);
     assert.equal(excludedTargets(outliers, 1, () => 0).size, 0);
