--- a/packages/coordination/src/core/membership/doubting.ts
+++ b/packages/coordination/src/core/membership/doubting.ts
@@ -1,100 +1,112 @@
 /**
- * The death of a failure domain at once. The news of 162 deaths takes its time within the budget of
- * bytes, and until it is through, work would go on being given to targets that are gone. Once half of
- * another failure domain is down, its other members are doubted as well: they get no new work. The
- * doubt is this member's own, told to nobody, never grows into a death, and is taken back as soon as
- * the doubted member is heard, or after a while.
+ * Suspicion of a whole failure domain. Within the gossip budget, the updates of 162 simultaneous
+ * deaths take a while to spread, and until then work would still go to targets that are gone. So
+ * once half of another failure domain is down, its remaining members are suspected too and get no
+ * new work. This suspicion is local: it is not gossiped, never leads to a declaration of death, and
+ * is reverted when the member sends a message or after a timeout.
  */
 import { MemberState } from '../model/member.js';
 import type { MembershipContext, MembershipEffect } from './effects.js';
 import type { MembershipState } from './state.js';
-import { replaceMember, takeBack } from './view.js';
+import { replaceMember, revertLocalSuspicion } from './view.js';
 
-/** Fewer members down than this are no failure domain, but single failures. */
-const MIN_DOWN = 3;
+/** Fewer failed members than this count as single failures. */
+const MIN_DOWN_MEMBERS = 3;
 
-/** Share of a failure domain that has to be down. */
-const DOWN_RATIO = 0.5;
+/** Share of the members that must be down for the failure domain to count as lost. */
+const MIN_DOWN_RATIO = 0.5;
 
-/** Deaths older than this belong to an earlier time. */
-const RECENT_MS = 30_000;
+/** Deaths older than this belong to an earlier failure and are not counted. */
+const RECENT_DEATH_MS = 30_000;
 
-/** How long a doubt lasts without further signs: news of a failure domain is through by then. */
-const DOUBT_MS = 20_000;
+/**
+ * How long the suspicion lasts: by then, gossip about the failure domain has reached all members.
+ */
+const DOMAIN_SUSPICION_MS = 20_000;
 
-/** A member whose doubt ended is not doubted again for the same failure. */
-const TRUST_MS = 2 * RECENT_MS;
+/**
+ * How long a member is exempt after its suspicion ended, so that the same failure does not renew
+ * it.
+ */
+const EXEMPTION_MS = 2 * RECENT_DEATH_MS;
 
-/** How often the failure domains are looked at while there are suspects. */
-const LOOK_MS = 500;
+/** Interval at which failure domains are checked while there are suspects. */
+const CHECK_INTERVAL_MS = 500;
 
-interface Standing {
+interface DomainHealth {
   down: number;
   readonly up: string[];
 }
 
-function standings(state: MembershipState, nowMs: number): Map<string, Standing> {
-  const found = new Map<string, Standing>();
+function healthByDomain(state: MembershipState, nowMs: number): Map<string, DomainHealth> {
+  const byDomain = new Map<string, DomainHealth>();
   for (const { member, changedAtMs, stateBeforeSilence } of state.records.values()) {
     if (member.failureDomain === state.self.failureDomain) continue;
     const isDead = member.state === MemberState.Dead;
-    if (isDead && nowMs - changedAtMs > RECENT_MS) continue;
-    const standing = found.get(member.failureDomain) ?? { down: 0, up: [] };
-    found.set(member.failureDomain, standing);
+    if (isDead && nowMs - changedAtMs > RECENT_DEATH_MS) continue;
+    const health = byDomain.get(member.failureDomain) ?? { down: 0, up: [] };
+    byDomain.set(member.failureDomain, health);
     const isSuspect = member.state === MemberState.Suspect && stateBeforeSilence === null;
-    if (isDead || isSuspect) standing.down += 1;
-    else standing.up.push(member.id);
+    if (isDead || isSuspect) health.down += 1;
+    else health.up.push(member.id);
   }
-  return found;
+  return byDomain;
 }
 
-function isLost({ down, up }: Standing): boolean {
-  return down >= MIN_DOWN && down >= DOWN_RATIO * (down + up.length);
+function isDomainLost({ down, up }: DomainHealth): boolean {
+  return down >= MIN_DOWN_MEMBERS && down >= MIN_DOWN_RATIO * (down + up.length);
 }
 
-function doubt(state: MembershipState, id: string, context: MembershipContext): MembershipEffect[] {
+function suspectWithDomain(
+  state: MembershipState,
+  id: string,
+  context: MembershipContext,
+): MembershipEffect[] {
   const record = state.records.get(id);
-  if (record === undefined || state.doubted.has(id) || state.silent.has(id)) return [];
-  if (state.trusted.has(id)) return [];
-  const held = record.member.state;
+  if (record === undefined || state.domainSuspects.has(id) || state.silent.has(id)) return [];
+  if (state.domainSuspicionExempt.has(id)) return [];
+  const previous = record.member.state;
   const member = { ...record.member, state: MemberState.Suspect };
   const reason = 'most of its failure domain is down';
   const effect = replaceMember(state, record, member, reason, context);
-  record.stateBeforeSilence = held;
-  state.doubted.set(id, context.nowMs + DOUBT_MS);
+  record.stateBeforeSilence = previous;
+  state.domainSuspects.set(id, context.nowMs + DOMAIN_SUSPICION_MS);
   return [effect];
 }
 
-/** Ends the doubt about a member that was heard. */
-export function endDoubt(
+/** Ends the domain suspicion of a member that sent a message. */
+export function endDomainSuspicion(
   state: MembershipState,
   id: string,
   context: MembershipContext,
 ): MembershipEffect[] {
-  if (!state.doubted.has(id)) return [];
-  state.trusted.set(id, context.nowMs + TRUST_MS);
-  return takeBack(state, id, 'it was heard', context);
+  if (!state.domainSuspects.has(id)) return [];
+  state.domainSuspicionExempt.set(id, context.nowMs + EXEMPTION_MS);
+  return revertLocalSuspicion(state, id, 'it was heard', context);
 }
 
-/** Looks at the failure domains, and takes back what was doubted long enough. */
-export function doubtDomains(
+/**
+ * Suspects the remaining members of lost failure domains and reverts suspicions that have expired.
+ */
+export function suspectLostDomains(
   state: MembershipState,
   context: MembershipContext,
 ): MembershipEffect[] {
-  if (context.nowMs < state.doubtAtMs) return [];
-  const isQuiet = state.suspects.size < MIN_DOWN && state.doubted.size === 0;
-  if (isQuiet && state.trusted.size === 0) return [];
-  state.doubtAtMs = context.nowMs + LOOK_MS;
+  if (context.nowMs < state.nextDomainCheckAtMs) return [];
+  const isQuiet = state.suspects.size < MIN_DOWN_MEMBERS && state.domainSuspects.size === 0;
+  if (isQuiet && state.domainSuspicionExempt.size === 0) return [];
+  state.nextDomainCheckAtMs = context.nowMs + CHECK_INTERVAL_MS;
   const effects: MembershipEffect[] = [];
-  for (const [id, untilMs] of [...state.doubted]) {
+  for (const [id, untilMs] of [...state.domainSuspects]) {
     if (context.nowMs < untilMs) continue;
-    state.trusted.set(id, context.nowMs + TRUST_MS);
-    effects.push(...takeBack(state, id, 'nothing more was heard against it', context));
+    state.domainSuspicionExempt.set(id, context.nowMs + EXEMPTION_MS);
+    effects.push(...revertLocalSuspicion(state, id, 'nothing more was heard against it', context));
   }
-  for (const [id, untilMs] of state.trusted) if (context.nowMs >= untilMs) state.trusted.delete(id);
-  for (const standing of standings(state, context.nowMs).values()) {
-    if (!isLost(standing)) continue;
-    effects.push(...standing.up.flatMap((id) => doubt(state, id, context)));
+  for (const [id, untilMs] of state.domainSuspicionExempt)
+    if (context.nowMs >= untilMs) state.domainSuspicionExempt.delete(id);
+  for (const health of healthByDomain(state, context.nowMs).values()) {
+    if (!isDomainLost(health)) continue;
+    effects.push(...health.up.flatMap((id) => suspectWithDomain(state, id, context)));
   }
   return effects;
 }
--- a/packages/coordination/src/core/membership/effects.ts
+++ b/packages/coordination/src/core/membership/effects.ts
@@ -1,5 +1,5 @@
 /**
- * What membership asks its process to do, and the context it decides in.
+ * Effects that the membership protocol returns to its host process, and the context it runs in.
  */
 import type { Failure } from '../failures/failure.js';
 import type { Hash32 } from '../hashing/hashing.js';
@@ -9,15 +9,15 @@
 
 /** Kinds of membership effects. */
 export enum MembershipEffectKind {
-  /** Send one datagram; loss is expected. */
+  /** Send one datagram. It may be lost. */
   SendDatagram = 'send-datagram',
-  /** Call `member.sync`; feed the answer to `receiveSyncAnswer`, a failure to `syncFailed`. */
+  /** Call `member.sync`. Pass the answer to `receiveSyncAnswer` and a failure to `syncFailed`. */
   RequestSync = 'request-sync',
-  /** The belief about a member changed. */
+  /** The state of a member changed in this process's view. */
   MemberChanged = 'member-changed',
   /** Hints of other subsystems arrived. */
   HintsHeard = 'hints-heard',
-  /** News was not taken; count it. */
+  /** An update was rejected; increment the counter. */
   Refused = 'refused',
 }
 
@@ -45,18 +45,18 @@
       readonly from: string;
       readonly hints: Hints;
       /**
-       * When this member asked for them, on its own clock: the hints are no older. Null when they
-       * came unasked, after an unknown delay.
+       * Local time at which this member sent the probe that the hints answer, so they are not older
+       * than that. Null when they arrived without a request, after an unknown delay.
        */
       readonly askedAtMs: number | null;
     }
   | { readonly kind: MembershipEffectKind.Refused; readonly failure: Failure };
 
-/** What membership needs from its process at each step. */
+/** Inputs that the host process provides at each step. */
 export interface MembershipContext {
   readonly nowMs: number;
   readonly random: Random;
   readonly hash32: Hash32;
-  /** The hints to send along now. */
+  /** Returns the current hints to attach to messages. */
   readonly hints: () => Hints;
 }
--- a/packages/coordination/src/core/membership/failures.ts
+++ b/packages/coordination/src/core/membership/failures.ts
@@ -1,7 +1,7 @@
-/** Failures of membership. */
+/** Failures of the membership protocol. */
 import { defineFailure } from '../failures/failure.js';
 
-/** The table of members is full; news of a further member is not taken. */
+/** The member table is full, and an update about a new member was rejected. */
 export const membersFull = defineFailure({
   name: 'members-full',
   title: 'The table of members is full',
@@ -10,7 +10,7 @@
   hint: 'Raise maxMembers, or look for processes that start at ever new addresses.',
 });
 
-/** A datagram or page that is not a membership message. */
+/** A datagram or sync page is not a valid membership message. */
 export const malformedMembershipMessage = defineFailure({
   name: 'malformed-membership-message',
   title: 'Not a membership message',
@@ -18,7 +18,7 @@
   hint: 'Check that only members of this deployment, at compatible versions, reach the control port.',
 });
 
-/** The asked member serves as many pages of its view as it may for the moment. */
+/** The requested member has reached its limit of sync pages per second. */
 export const syncBusy = defineFailure({
   name: 'sync-busy',
   title: 'Too many members ask for the view at once',
--- a/packages/coordination/src/core/membership/index.ts
+++ b/packages/coordination/src/core/membership/index.ts
@@ -1,4 +1,7 @@
-/** Membership: who is alive, who is leaving, and small hints of other subsystems. */
+/**
+ * Membership: which members are alive or leaving, and small hints that other subsystems attach to
+ * its messages.
+ */
 export * from './effects.js';
 export * from './failures.js';
 export { DATAGRAM_HEADER_BYTES } from './gossiping.js';
--- a/packages/coordination/src/core/membership/leaving-signs.ts
+++ b/packages/coordination/src/core/membership/leaving-signs.ts
@@ -1,34 +1,35 @@
 /**
- * Whether a target gets new work, from whichever sign of its leaving comes first. The signs come
- * from four sources that lag in different ways; none of them can take back what another says,
- * because new work on a leaving target is a cut request later, while a spared target costs little.
+ * Decides whether a target gets new work, based on the signs that it is leaving. The signs come
+ * from four sources with different lag, and any one of them stops new work. No source can override
+ * another, because new work on a leaving target ends in an interrupted request, while an idle
+ * target costs little.
  */
 import { MemberState } from '../model/member.js';
 
-/** What speaks against giving a target new work. */
+/** Reasons to give a target no new work. */
 export enum LeavingSign {
-  /** The platform's list names its VM as leaving. */
+  /** The platform's VM list marks its VM as leaving. */
   VmList = 'vm-list',
-  /** The operators' text withdraws it. */
+  /** The operators' configuration withdraws it. */
   Withdrawn = 'withdrawn',
-  /** Its own sidecar announced it. */
+  /** Its own sidecar announced that it is leaving. */
   OwnSignal = 'own-signal',
-  /** It missed probes, or is dead. */
+  /** Its sidecar is suspect or dead. */
   Failure = 'failure',
-  /** Its sidecar was never heard of. */
+  /** Its sidecar is unknown. */
   NeverSeen = 'never-seen',
 }
 
-/** The four sources, each as last heard. */
+/** Latest information from the four sources. */
 export interface LeavingSources {
-  /** Null when the list is unknown, does not name the VM, or is too old to be believed. */
+  /** Null when the VM list is unknown or too old, or does not contain the VM. */
   readonly listedLeaving: boolean | null;
   readonly withdrawn: boolean;
-  /** The belief about the sidecar beside the target; null when it was never heard of. */
+  /** State of the sidecar that runs beside the target; null when it is unknown. */
   readonly sidecar: MemberState | null;
 }
 
-/** All signs against new work; new work is allowed when there is none. */
+/** Returns all reasons against new work. New work is allowed when there is none. */
 export function combineLeavingSigns(sources: LeavingSources): readonly LeavingSign[] {
   const signs: LeavingSign[] = [];
   if (sources.withdrawn) signs.push(LeavingSign.Withdrawn);
--- a/packages/coordination/src/core/membership/membership.ts
+++ b/packages/coordination/src/core/membership/membership.ts
@@ -1,40 +1,49 @@
 /**
- * The membership machine: SWIM with suspicion and refutation, sized so that a member costs the
- * same at 14 and at 1,140 members. Its process feeds it datagrams, page answers and wake-ups, and
- * performs the effects. See docs/design/membership.md for the ways weighed and the arithmetic.
+ * State machine of the membership protocol: SWIM with suspicion and refutation. The cost per member
+ * is the same at 14 and at 1,140 members. The host process passes in datagrams, sync pages and
+ * wake-ups, and performs the returned effects. docs/design/membership.md describes the alternatives
+ * and the arithmetic.
  */
 import { MemberState } from '../model/member.js';
 import type { MembershipContext, MembershipEffect } from './effects.js';
 import { MembershipEffectKind } from './effects.js';
-import type { Hints, MemberNews, MembershipMessage } from './messages.js';
+import type { Hints, MemberUpdate, MembershipMessage } from './messages.js';
 import { MembershipMethod } from './messages.js';
-import { doubtDomains, endDoubt } from './doubting.js';
-import { farewell, pushNews } from './gossiping.js';
-import { newsIsEmpty } from './news-queue.js';
+import { suspectLostDomains, endDomainSuspicion } from './doubting.js';
+import { gossipLeave, pushUpdates } from './gossiping.js';
+import { isUpdateQueueEmpty } from './news-queue.js';
 import {
   continueProbe,
-  endRelayedProbes,
+  expireRelayedProbes,
   inContactSince,
-  newsFor,
-  noteContact,
+  updatesFor,
+  recordContact,
   ping,
-  probeAnswered,
+  handleProbeAnswer,
   relayProbe,
   startProbe,
 } from './probing.js';
 import type { MemberRecord, MembershipState } from './state.js';
 import { continueSync, syncWakeAtMs } from './syncing.js';
-import { LAST_CALL_MS, Spread, applyNews, changeSelf, forget, newsOf } from './view.js';
+import {
+  FINAL_PING_LEAD_MS,
+  Propagation,
+  applyUpdate,
+  updateSelf,
+  removeMember,
+  updateOf,
+} from './view.js';
 
-/** A partition that was seen to heal is probed across at full rate for this long. */
-const HEALING_MS = 60_000;
+/** How long dead members are probed at the full rate once a partition starts to heal. */
+const PARTITION_HEALING_MS = 60_000;
 
 /**
- * Failure guarded against: a process that stood still wakes up, finds all its timers overdue and
- * takes everybody for dead. It shows as a wake-up much later than asked for. The probe under way is
- * dropped without a verdict, and suspects get the lost time back.
+ * Compensates for a pause of this process, detected by a wake-up much later than requested. Drops
+ * the probe in progress without a result and extends the deadlines of suspects. Without this, a
+ * process that resumes after a pause finds all its timers overdue and declares all other members
+ * dead.
  */
-function noticePause(state: MembershipState, nowMs: number): void {
+function compensateForPause(state: MembershipState, nowMs: number): void {
   const latenessMs = nowMs - state.wakeAtMs;
   if (latenessMs <= state.options.guards.pauseThresholdMs) return;
   state.probe = null;
@@ -42,33 +51,35 @@
   for (const id of state.suspects) {
     const record = state.records.get(id);
     if (record === undefined) continue;
-    // What it has to say may wait behind this wake-up: time for a last call is left in any case.
+    // The suspect's refutation may still be in the receive queue, so always leave time for a final
+    // ping.
     const extendedMs = record.suspectDeadlineMs + latenessMs;
-    record.suspectDeadlineMs = Math.max(extendedMs, nowMs + LAST_CALL_MS);
-    record.lastCallAtMs = nowMs;
+    record.suspectDeadlineMs = Math.max(extendedMs, nowMs + FINAL_PING_LEAD_MS);
+    record.nextPingAtMs = nowMs;
   }
   state.wakeAtMs = nowMs;
 }
 
 /**
- * Failure guarded against: a process that is cut off, or was paused and got old news, condemns a
- * member that it cannot ask. It shows as a gap in the answers to its own probes since the last call,
- * which a suspect that lives would have answered as well; it is then called again.
+ * Postpones a declaration of death if this member has not been in contact with others since the
+ * final ping, and pings the suspect again. A gap in the answers to its own probes means that an
+ * answer of the suspect may be lost too. Without this, a process that is cut off, or was paused and
+ * received old updates, declares members dead that it cannot reach.
  */
-function waitsForContact(
+function deferUntilContact(
   state: MembershipState,
   record: MemberRecord,
   context: MembershipContext,
 ): boolean {
   if (!state.options.guards.silenceIsOwnFault) return false;
-  const lastCallMs = record.suspectDeadlineMs - LAST_CALL_MS;
-  if (inContactSince(state, lastCallMs, context.nowMs)) return false;
-  record.lastCallAtMs = context.nowMs;
-  record.suspectDeadlineMs = context.nowMs + LAST_CALL_MS;
+  const finalPingAtMs = record.suspectDeadlineMs - FINAL_PING_LEAD_MS;
+  if (inContactSince(state, finalPingAtMs, context.nowMs)) return false;
+  record.nextPingAtMs = context.nowMs;
+  record.suspectDeadlineMs = context.nowMs + FINAL_PING_LEAD_MS;
   return true;
 }
 
-/** The reason of a death that this member concluded itself. */
+/** Reason of the change when this member itself declares a suspect dead. */
 export const NOT_CONTRADICTED = 'suspicion not contradicted';
 
 function declareDead(state: MembershipState, context: MembershipContext): MembershipEffect[] {
@@ -77,57 +88,58 @@
     const record = state.records.get(id);
     if (record === undefined || record.stateBeforeSilence !== null) continue;
     if (context.nowMs < record.suspectDeadlineMs) continue;
-    if (waitsForContact(state, record, context)) continue;
+    if (deferUntilContact(state, record, context)) continue;
     const { incarnation } = record.member;
-    const news = { id, state: MemberState.Dead, incarnation, details: null };
-    // Everybody who heard of the suspicion runs the same timer: the verdict needs no spreading.
-    effects.push(...applyNews(state, news, Spread.Keep, NOT_CONTRADICTED, context));
+    const update = { id, state: MemberState.Dead, incarnation, details: null };
+    // Every member that received the suspicion runs the same timer, so the death needs no gossip.
+    effects.push(...applyUpdate(state, update, Propagation.None, NOT_CONTRADICTED, context));
   }
   return effects;
 }
 
-/** Time between two last calls to any suspects, 110 bytes each. */
-const LAST_CALL_PACE_MS = 200;
+/** Minimum time between two direct pings to suspects, which take 110 bytes each. */
+const SUSPECT_PING_SPACING_MS = 200;
 
 /**
- * Asks suspects themselves before their time is over. Failure guarded against: with many datagrams
- * lost, one member hears of the suspicion and misses the contradiction, and alone declares a living
- * member dead. The call carries the suspicion, so its answer carries the contradiction.
+ * Pings suspects directly shortly before their deadline. The ping carries the suspicion, so the
+ * answer carries the refutation. Without this, a member that receives a suspicion but misses the
+ * refutation because of heavy datagram loss is the only one to declare a living member dead.
  */
-function lastCalls(state: MembershipState, context: MembershipContext): MembershipEffect[] {
+function pingSuspects(state: MembershipState, context: MembershipContext): MembershipEffect[] {
   const effects: MembershipEffect[] = [];
   for (const id of state.suspects) {
     const record = state.records.get(id);
     if (record === undefined || record.stateBeforeSilence !== null) continue;
-    if (context.nowMs < record.lastCallAtMs || context.nowMs < state.nextLastCallMs) continue;
-    record.lastCallAtMs += LAST_CALL_MS / 2;
-    state.nextLastCallMs = context.nowMs + LAST_CALL_PACE_MS;
+    if (context.nowMs < record.nextPingAtMs || context.nowMs < state.suspectPingNotBeforeMs)
+      continue;
+    record.nextPingAtMs += FINAL_PING_LEAD_MS / 2;
+    state.suspectPingNotBeforeMs = context.nowMs + SUSPECT_PING_SPACING_MS;
     state.sequence += 1;
     effects.push(ping(state, id, state.sequence, context));
   }
   return effects;
 }
 
-function forgetLongDead(state: MembershipState, nowMs: number): void {
+function evictExpiredDead(state: MembershipState, nowMs: number): void {
   for (const id of [...state.dead]) {
     const record = state.records.get(id);
     if (record !== undefined && nowMs - record.changedAtMs >= state.options.deadRetentionMs) {
-      forget(state, id);
+      removeMember(state, id);
     }
   }
 }
 
-/** Probes one remembered dead member, so that parted halves find each other again. */
-function probeOneDead(state: MembershipState, context: MembershipContext): MembershipEffect[] {
+/** Probes a random dead member, so that the sides of a healed partition reconnect. */
+function probeDeadMember(state: MembershipState, context: MembershipContext): MembershipEffect[] {
   if (context.nowMs < state.timers.deadProbeAtMs) return [];
-  const healing = context.nowMs < state.healingUntilMs;
+  const isHealing = context.nowMs < state.healingUntilMs;
   const { probeIntervalMs, deadProbeIntervalMs, guards } = state.options;
-  const intervalMs = healing ? probeIntervalMs : deadProbeIntervalMs;
+  const intervalMs = isHealing ? probeIntervalMs : deadProbeIntervalMs;
   state.timers.deadProbeAtMs = context.nowMs + intervalMs * (0.5 + context.random());
-  forgetLongDead(state, context.nowMs);
+  evictExpiredDead(state, context.nowMs);
   if (state.dead.size === 0 || !guards.probesDead) return [];
-  const dead = [...state.dead];
-  const id = dead[Math.floor(context.random() * dead.length)] ?? '';
+  const deadIds = [...state.dead];
+  const id = deadIds[Math.floor(context.random() * deadIds.length)] ?? '';
   state.sequence += 1;
   return [ping(state, id, state.sequence, context)];
 }
@@ -137,18 +149,18 @@
   for (const id of state.suspects) {
     const record = state.records.get(id);
     if (record === undefined || record.stateBeforeSilence !== null) continue;
-    const lastCallMs = Math.max(record.lastCallAtMs, state.nextLastCallMs);
-    earliestMs = Math.min(earliestMs, record.suspectDeadlineMs, lastCallMs);
+    const nextPingAtMs = Math.max(record.nextPingAtMs, state.suspectPingNotBeforeMs);
+    earliestMs = Math.min(earliestMs, record.suspectDeadlineMs, nextPingAtMs);
   }
   for (const relayed of state.relayed.values()) earliestMs = Math.min(earliestMs, relayed.endsAtMs);
   return earliestMs;
 }
 
-/** When the machine wants its next {@link tickMembership}; wakes at any other time do no harm. */
+/** Returns when {@link tickMembership} is due next. Calling it at other times is harmless. */
 export function membershipWakeAtMs(state: MembershipState): number {
   const { probe, timers } = state;
   const probeWakeMs = probe === null ? timers.probeAtMs : (probe.indirectAtMs ?? probe.endsAtMs);
-  const gossipWakeMs = newsIsEmpty(state.news) ? Infinity : timers.gossipAtMs;
+  const gossipWakeMs = isUpdateQueueEmpty(state.news) ? Infinity : timers.gossipAtMs;
   return Math.min(
     probeWakeMs,
     gossipWakeMs,
@@ -161,10 +173,10 @@
 function step(
   state: MembershipState,
   context: MembershipContext,
-  act: () => MembershipEffect[],
+  run: () => MembershipEffect[],
 ): MembershipEffect[] {
-  noticePause(state, context.nowMs);
-  const effects = act();
+  compensateForPause(state, context.nowMs);
+  const effects = run();
   state.wakeAtMs = Math.max(context.nowMs, membershipWakeAtMs(state));
   return effects;
 }
@@ -175,7 +187,7 @@
   return startProbe(state, context);
 }
 
-/** Does whatever is due. */
+/** Runs all timers that are due. */
 export function tickMembership(
   state: MembershipState,
   context: MembershipContext,
@@ -184,20 +196,20 @@
   return step(state, context, () => [
     ...continueProbe(state, context),
     ...nextProbe(state, context),
-    ...endRelayedProbes(state, context),
-    ...lastCalls(state, context),
+    ...expireRelayedProbes(state, context),
+    ...pingSuspects(state, context),
     ...declareDead(state, context),
-    ...doubtDomains(state, context),
+    ...suspectLostDomains(state, context),
     ...continueSync(state, context),
-    ...probeOneDead(state, context),
-    ...pushNews(state, context),
+    ...probeDeadMember(state, context),
+    ...pushUpdates(state, context),
   ]);
 }
 
-function noteReturn(state: MembershipState, from: string, context: MembershipContext): void {
+function handleReturn(state: MembershipState, from: string, context: MembershipContext): void {
   if (!state.dead.has(from)) return;
   state.returnedPeer ??= from;
-  state.healingUntilMs = context.nowMs + HEALING_MS;
+  state.healingUntilMs = context.nowMs + PARTITION_HEALING_MS;
   state.timers.deadProbeAtMs = Math.min(
     state.timers.deadProbeAtMs,
     context.nowMs + state.options.probeIntervalMs * context.random(),
@@ -208,7 +220,7 @@
   );
 }
 
-function hintsHeard(from: string, hints: Hints, askedAtMs: number | null): MembershipEffect[] {
+function hintsReceived(from: string, hints: Hints, askedAtMs: number | null): MembershipEffect[] {
   if (hints.length === 0) return [];
   return [{ kind: MembershipEffectKind.HintsHeard, from, hints, askedAtMs }];
 }
@@ -222,49 +234,49 @@
 ): MembershipEffect[] {
   const { probe } = state;
   if (probe?.sequence === sequence) {
-    const effects = probeAnswered(state, context);
-    return [...effects, ...hintsHeard(from, hints, probe.startedAtMs)];
+    const effects = handleProbeAnswer(state, context);
+    return [...effects, ...hintsReceived(from, hints, probe.startedAtMs)];
   }
   const relayed = state.relayed.get(sequence);
-  if (relayed === undefined) return hintsHeard(from, hints, null);
+  if (relayed === undefined) return hintsReceived(from, hints, null);
   state.relayed.delete(sequence);
   const ack: MembershipMessage = {
     method: MembershipMethod.Ack,
     sequence: relayed.requesterSequence,
     hints: context.hints(),
-    news: newsFor(state, relayed.requester),
+    news: updatesFor(state, relayed.requester),
   };
   const relay = { kind: MembershipEffectKind.SendDatagram, to: relayed.requester, message: ack };
-  return [...hintsHeard(from, hints, null), relay as MembershipEffect];
+  return [...hintsReceived(from, hints, null), relay as MembershipEffect];
 }
 
-function receiveNews(
+function applyUpdates(
   state: MembershipState,
   from: string,
   message: MembershipMessage,
   context: MembershipContext,
 ): MembershipEffect[] {
   if (!('news' in message)) return [];
-  return message.news.flatMap((news) =>
-    applyNews(state, news, Spread.Tell, `told by ${from}`, context),
+  return message.news.flatMap((update) =>
+    applyUpdate(state, update, Propagation.Gossip, `told by ${from}`, context),
   );
 }
 
 /**
- * A sender that still doubts this process missed its contradiction, which may have been sent often
- * enough for everybody else: it is told once more.
+ * Adds a refutation to an answer if the sender still reports this process as suspect or dead. The
+ * sender has missed the refutation, which may already have reached its send limit.
  */
-function withContradiction(
+function withRefutation(
   state: MembershipState,
-  heard: readonly MemberNews[],
-  news: readonly MemberNews[],
-): readonly MemberNews[] {
+  received: readonly MemberUpdate[],
+  updates: readonly MemberUpdate[],
+): readonly MemberUpdate[] {
   const { id } = state.self;
-  const isDoubt = ({ state: said }: MemberNews): boolean =>
-    said === MemberState.Suspect || said === MemberState.Dead;
-  const doubted = heard.some((item) => item.id === id && isDoubt(item));
-  if (!doubted || news.some((item) => item.id === id)) return news;
-  return [newsOf(state.self), ...news];
+  const isSuspectOrDead = ({ state: reported }: MemberUpdate): boolean =>
+    reported === MemberState.Suspect || reported === MemberState.Dead;
+  const needsRefutation = received.some((item) => item.id === id && isSuspectOrDead(item));
+  if (!needsRefutation || updates.some((item) => item.id === id)) return updates;
+  return [updateOf(state.self), ...updates];
 }
 
 function answerMessage(
@@ -276,7 +288,7 @@
   switch (message.method) {
     case MembershipMethod.Ping: {
       const { sequence } = message;
-      const news = withContradiction(state, message.news, newsFor(state, from));
+      const news = withRefutation(state, message.news, updatesFor(state, from));
       const ack: MembershipMessage = {
         method: MembershipMethod.Ack,
         sequence,
@@ -284,7 +296,7 @@
         news,
       };
       const answer = { kind: MembershipEffectKind.SendDatagram, to: from, message: ack } as const;
-      return [answer, ...hintsHeard(from, message.hints, null)];
+      return [answer, ...hintsReceived(from, message.hints, null)];
     }
     case MembershipMethod.Ack:
       return receiveAck(state, from, message.sequence, message.hints, context);
@@ -293,14 +305,14 @@
     case MembershipMethod.Nack:
       if (state.probe?.sequence !== message.sequence) return [];
       state.probe.nacks += 1;
-      noteContact(state, context.nowMs);
+      recordContact(state, context.nowMs);
       return [];
     case MembershipMethod.Gossip:
-      return hintsHeard(from, message.hints, null);
+      return hintsReceived(from, message.hints, null);
   }
 }
 
-/** Takes one datagram in; `from` is the member id that its source address gives. */
+/** Handles one datagram. `from` is the member id derived from its source address. */
 export function receiveMembershipMessage(
   state: MembershipState,
   from: string,
@@ -309,29 +321,33 @@
 ): MembershipEffect[] {
   if (state.self.state === MemberState.Dead) return [];
   return step(state, context, () => {
-    noteReturn(state, from, context);
-    const heard = endDoubt(state, from, context);
-    const news = receiveNews(state, from, message, context);
-    return [...heard, ...news, ...answerMessage(state, from, message, context)];
+    handleReturn(state, from, context);
+    const reverted = endDomainSuspicion(state, from, context);
+    const changes = applyUpdates(state, from, message, context);
+    return [...reverted, ...changes, ...answerMessage(state, from, message, context)];
   });
 }
 
-/** Says that this process shuts down: it takes no new work but goes on with what it has. */
+/**
+ * Announces that this process is draining: it accepts no new work and finishes its current work.
+ */
 export function announceLeaving(
   state: MembershipState,
   context: MembershipContext,
 ): MembershipEffect[] {
   if (state.self.state !== MemberState.Alive) return [];
   const incarnation = state.self.incarnation + 1;
-  changeSelf(state, { ...state.self, state: MemberState.Leaving, incarnation }, context);
-  return farewell(state, context);
+  updateSelf(state, { ...state.self, state: MemberState.Leaving, incarnation }, context);
+  return gossipLeave(state, context);
 }
 
-/** The last word before the process ends: spares the others suspicion and its timeout. */
+/**
+ * Announces that this process ends, so that other members need not wait for the suspicion timeout.
+ */
 export function announceLeft(
   state: MembershipState,
   context: MembershipContext,
 ): MembershipEffect[] {
-  changeSelf(state, { ...state.self, state: MemberState.Dead }, context);
-  return farewell(state, context);
+  updateSelf(state, { ...state.self, state: MemberState.Dead }, context);
+  return gossipLeave(state, context);
 }
--- a/packages/coordination/src/core/membership/messages.ts
+++ b/packages/coordination/src/core/membership/messages.ts
@@ -1,8 +1,8 @@
 /**
- * What members say to each other about who is alive. Every message is one JSON-RPC notification in
- * one datagram; news travels on the back of probes and their answers, so that the cost of a member
- * does not grow with the fleet. The encoded form is positional, because a field's name would cost
- * more than its value.
+ * Messages of the membership protocol. Every message is one JSON-RPC notification in one datagram.
+ * Updates are piggybacked on probes and their answers, so the cost per member does not grow with
+ * the fleet. The encoding is positional, because field names would take more bytes than their
+ * values.
  */
 import type { MemberKind, MemberState } from '../model/member.js';
 
@@ -12,13 +12,13 @@
   Ack = 'member.ack',
   /** Asks the receiver to ping a third member on the sender's behalf. */
   Probe = 'member.probe',
-  /** The receiver of a probe request lives, but had no answer from the third member in time. */
+  /** Reports that the sender is alive but got no answer from the third member in time. */
   Nack = 'member.nack',
-  /** News alone, sent only while there is some. */
+  /** Carries updates only; sent while updates are queued. */
   Gossip = 'member.gossip',
 }
 
-/** What a member is; sent only with the news of its start, since it never changes afterwards. */
+/** Properties of a member. They never change, so only the update about its start carries them. */
 export interface MemberDetails {
   readonly kind: MemberKind;
   readonly failureDomain: string;
@@ -26,8 +26,8 @@
   readonly target: string;
 }
 
-/** One piece of news about one member. */
-export interface MemberNews {
+/** State of one member at one incarnation. The details are null when they are not sent along. */
+export interface MemberUpdate {
   readonly id: string;
   readonly state: MemberState;
   readonly incarnation: number;
@@ -35,18 +35,18 @@
 }
 
 /**
- * Small numbers of other subsystems that ride along; membership passes them on uninterpreted. The
- * configuration uses them as `[version, age of its freshness in ms]`.
+ * Small numbers that other subsystems attach to messages; membership does not interpret them. The
+ * configuration sends `[version, time in ms since it was known to be current]`.
  */
 export type Hints = readonly number[];
 
-/** A message between two members; who sent it is known from the datagram's source address. */
+/** A message between two members. The source address of the datagram identifies the sender. */
 export type MembershipMessage =
   | {
       readonly method: MembershipMethod.Ping | MembershipMethod.Ack;
       readonly sequence: number;
       readonly hints: Hints;
-      readonly news: readonly MemberNews[];
+      readonly news: readonly MemberUpdate[];
     }
   | {
       readonly method: MembershipMethod.Probe;
@@ -57,25 +57,25 @@
   | {
       readonly method: MembershipMethod.Gossip;
       readonly hints: Hints;
-      readonly news: readonly MemberNews[];
+      readonly news: readonly MemberUpdate[];
     };
 
-/** News in its encoded form: `[id, state, incarnation, kind, failure domain, target]`. */
-export type EncodedNews = readonly unknown[];
+/** Encoded update: `[id, state, incarnation, kind, failure domain, target]`. */
+export type EncodedUpdate = readonly unknown[];
 
-/** Asks a peer, by RPC `member.sync`, for the members whose digests differ from the asker's. */
+/** Request of the RPC `member.sync`: asks a peer for members in buckets whose digests differ. */
 export interface SyncRequest {
   /** One digest per bucket of member ids. */
   readonly digests: readonly number[];
-  /** First bucket that is still to be compared. */
+  /** First bucket to compare. */
   readonly fromBucket: number;
-  /** The asker itself, since it may be a stranger to everybody it knows. */
-  readonly self: EncodedNews;
+  /** Entry of the requester, which the peer may not know yet. */
+  readonly self: EncodedUpdate;
 }
 
-/** One page of the peer's view. */
+/** Response of the RPC `member.sync`: one page of the peer's view. */
 export interface SyncAnswer {
-  readonly members: readonly EncodedNews[];
-  /** Where to go on, or null when all buckets were compared. */
+  readonly members: readonly EncodedUpdate[];
+  /** Bucket at which the next page starts; null when all buckets were compared. */
   readonly nextBucket: number | null;
 }
--- a/packages/coordination/src/core/membership/news-queue.ts
+++ b/packages/coordination/src/core/membership/news-queue.ts
@@ -1,85 +1,91 @@
 /**
- * News waiting to ride on messages. Holds at most one piece per member, the newest, so it is bounded
- * by the table of members. News of life goes before news of doubt, since a contradiction that comes
- * late kills; then fresh news goes first, and the rest takes turns until each piece was sent often
- * enough that gossip reaches everybody.
+ * Queue of membership updates to piggyback on outgoing messages. It holds at most one update per
+ * member, the newest, so its size is bounded by the member table. Updates about members that are
+ * alive or leaving are sent first, because a refutation that arrives too late gets a living member
+ * declared dead. New updates come next; the others are sent in turn until each has been sent often
+ * enough for gossip to reach all members.
  */
 import { MemberState } from '../model/member.js';
-import type { MemberNews } from './messages.js';
-import { encodeNews } from './wire.js';
+import type { MemberUpdate } from './messages.js';
+import { encodeUpdate } from './wire.js';
 
-interface QueuedNews {
-  readonly news: MemberNews;
+interface QueuedUpdate {
+  readonly update: MemberUpdate;
   readonly bytes: number;
-  sent: number;
+  timesSent: number;
 }
 
-/** The queue; insertion order of the maps is the order of turns. */
-export interface NewsQueue {
-  readonly urgent: Map<string, QueuedNews>;
-  readonly fresh: Map<string, QueuedNews>;
-  readonly repeated: Map<string, QueuedNews>;
+/** Update queue with three priorities. Each map is a FIFO queue in insertion order. */
+export interface UpdateQueue {
+  readonly urgent: Map<string, QueuedUpdate>;
+  readonly fresh: Map<string, QueuedUpdate>;
+  readonly repeated: Map<string, QueuedUpdate>;
 }
 
-/** The comma that joins one piece of news to the next. */
+/** The comma between two updates in an encoded message. */
 const SEPARATOR_BYTES = 1;
 
-/** An empty queue. */
-export function createNewsQueue(): NewsQueue {
+/** Creates an empty queue. */
+export function createUpdateQueue(): UpdateQueue {
   return { urgent: new Map(), fresh: new Map(), repeated: new Map() };
 }
 
-/** Pieces of news that are still to be sent. */
-export function newsCount(queue: NewsQueue): number {
+/** Returns the number of queued updates. */
+export function updateCount(queue: UpdateQueue): number {
   return queue.urgent.size + queue.fresh.size + queue.repeated.size;
 }
 
-/** Whether there is nothing to tell. */
-export function newsIsEmpty(queue: NewsQueue): boolean {
-  return newsCount(queue) === 0;
+/** Returns whether no update is queued. */
+export function isUpdateQueueEmpty(queue: UpdateQueue): boolean {
+  return updateCount(queue) === 0;
 }
 
-/** Bytes that a piece of news adds to a message. */
-export function newsBytes(news: MemberNews): number {
-  return Buffer.byteLength(JSON.stringify(encodeNews(news))) + SEPARATOR_BYTES;
+/** Returns the bytes that an update adds to a message. */
+export function updateBytes(update: MemberUpdate): number {
+  return Buffer.byteLength(JSON.stringify(encodeUpdate(update))) + SEPARATOR_BYTES;
 }
 
-/** Queues news in place of older news about the same member. */
-export function enqueueNews(queue: NewsQueue, news: MemberNews): void {
-  for (const pieces of [queue.urgent, queue.fresh, queue.repeated]) pieces.delete(news.id);
-  const isLife = news.state === MemberState.Alive || news.state === MemberState.Leaving;
-  const pieces = isLife ? queue.urgent : queue.fresh;
-  pieces.set(news.id, { news, bytes: newsBytes(news), sent: 0 });
+/** Queues an update, replacing an older one about the same member. */
+export function enqueueUpdate(queue: UpdateQueue, update: MemberUpdate): void {
+  for (const updates of [queue.urgent, queue.fresh, queue.repeated]) updates.delete(update.id);
+  const isAliveOrLeaving =
+    update.state === MemberState.Alive || update.state === MemberState.Leaving;
+  const updates = isAliveOrLeaving ? queue.urgent : queue.fresh;
+  updates.set(update.id, { update, bytes: updateBytes(update), timesSent: 0 });
 }
 
 function takeFrom(
-  queue: NewsQueue,
-  source: Map<string, QueuedNews>,
+  queue: UpdateQueue,
+  source: Map<string, QueuedUpdate>,
   budgetBytes: number,
   sendLimit: number,
-  taken: Map<string, MemberNews>,
+  taken: Map<string, MemberUpdate>,
 ): number {
-  let leftBytes = budgetBytes;
+  let remainingBytes = budgetBytes;
   const passes = source.size;
   for (let pass = 0; pass < passes; pass += 1) {
     const [first] = source;
     if (first === undefined) break;
     const [id, queued] = first;
-    if (queued.bytes > leftBytes || taken.has(id)) break;
-    leftBytes -= queued.bytes;
-    taken.set(id, queued.news);
-    queued.sent += 1;
+    if (queued.bytes > remainingBytes || taken.has(id)) break;
+    remainingBytes -= queued.bytes;
+    taken.set(id, queued.update);
+    queued.timesSent += 1;
     source.delete(id);
-    if (queued.sent < sendLimit) queue.repeated.set(id, queued);
+    if (queued.timesSent < sendLimit) queue.repeated.set(id, queued);
   }
-  return leftBytes;
+  return remainingBytes;
 }
 
-/** Takes the next news of at most `budgetBytes`, counting each piece as sent once more. */
-export function takeNews(queue: NewsQueue, budgetBytes: number, sendLimit: number): MemberNews[] {
-  const taken = new Map<string, MemberNews>();
-  let leftBytes = takeFrom(queue, queue.urgent, budgetBytes, sendLimit, taken);
-  leftBytes = takeFrom(queue, queue.fresh, leftBytes, sendLimit, taken);
-  takeFrom(queue, queue.repeated, leftBytes, sendLimit, taken);
+/** Takes the next updates that fit in `budgetBytes` and counts each as sent once more. */
+export function takeUpdates(
+  queue: UpdateQueue,
+  budgetBytes: number,
+  sendLimit: number,
+): MemberUpdate[] {
+  const taken = new Map<string, MemberUpdate>();
+  let remainingBytes = takeFrom(queue, queue.urgent, budgetBytes, sendLimit, taken);
+  remainingBytes = takeFrom(queue, queue.fresh, remainingBytes, sendLimit, taken);
+  takeFrom(queue, queue.repeated, remainingBytes, sendLimit, taken);
   return [...taken.values()];
 }
--- a/packages/coordination/src/core/membership/options.ts
+++ b/packages/coordination/src/core/membership/options.ts
@@ -1,63 +1,75 @@
 /**
- * The settings of membership, each with the reason for its default at the target size of 1,140
- * members, and the guards, which are functions so that a fuzzer can take one away.
+ * Options of the membership protocol, with the reasons for their defaults at the target size of
+ * 1,140 members, and its guards, which a fuzzer can disable one by one.
  */
 import type { MemberState } from '../model/member.js';
 
-/** Whether news of `state` at `incarnation` is newer than what is held. */
+/** Returns whether an update is newer than the current state of the member. */
 export type Supersedes = (
-  held: { readonly state: MemberState; readonly incarnation: number },
-  news: { readonly state: MemberState; readonly incarnation: number },
+  current: { readonly state: MemberState; readonly incarnation: number },
+  update: { readonly state: MemberState; readonly incarnation: number },
 ) => boolean;
 
-/** Guards of membership; each prevents one failure that the design note names. */
+/** Guards of the membership protocol. Each prevents one known failure. */
 export interface MembershipGuards {
-  /** Orders news, so that a late or repeated datagram cannot bring old news back. */
+  /** Orders updates, so that a late or duplicated datagram cannot restore an old state. */
   readonly supersedes: Supersedes;
-  /** How late, in ms, a wake-up shows that this process itself stood still. */
+  /** Wake-up delay above which this process assumes that it was paused itself. */
   readonly pauseThresholdMs: number;
-  /** Whether a probe that nobody at all answered may be held against the probed member. */
+  /**
+   * Whether a probe that neither its target nor a helper answered leads only to a local suspicion,
+   * because this member itself may be cut off.
+   */
   readonly silenceIsOwnFault: boolean;
-  /** Whether a process contradicts news of its own death or suspicion. */
+  /** Whether a process refutes updates that report it as suspect or dead. */
   readonly refutes: boolean;
-  /** Whether dead members are still probed, so that parted halves find each other. */
+  /** Whether dead members are still probed, so that the sides of a healed partition reconnect. */
   readonly probesDead: boolean;
 }
 
-/** Settings of membership. */
+/** Options of the membership protocol. */
 export interface MembershipOptions {
-  /** One probe per interval and member: the cost that does not grow with the fleet. */
+  /** Each member sends one probe per interval, so its cost does not grow with the fleet. */
   readonly probeIntervalMs: number;
-  /** Wait for the direct answer before others are asked; many times a round trip between regions. */
+  /**
+   * How long to wait for the direct answer before sending indirect probes; many times the round
+   * trip between regions.
+   */
   readonly probeTimeoutMs: number;
-  /** Peers asked to probe on this member's behalf, against loss on one path. */
+  /** Number of peers asked for an indirect probe, which covers loss on a single path. */
   readonly indirectProbes: number;
-  /** Time a suspect has to contradict; longer than common pauses and a few lost datagrams. */
+  /**
+   * Time that a suspect has to refute the suspicion; longer than common pauses and a few lost
+   * datagrams.
+   */
   readonly suspicionTimeoutMs: number;
   /**
-   * Each member sends a piece of news `retransmitFactor * ceil(ln(members + 1))` times: at a factor
-   * of 3 a tenth of all datagrams may be lost and hardly one member in 10,000 misses the news.
+   * Each member sends an update `retransmitFactor * ceil(ln(members + 1))` times. At a factor of 3
+   * and with a tenth of all datagrams lost, fewer than about one member in 10,000 misses an update.
    */
   readonly retransmitFactor: number;
-  /** News is pushed at this interval while there is some, on top of probes. */
+  /** Interval of gossip messages, which are sent in addition to probes while updates are queued. */
   readonly gossipIntervalMs: number;
   readonly gossipFanout: number;
-  /** Bytes a second that pushed news may cost; holds the budget when a failure domain dies. */
+  /** Byte rate of gossip messages; keeps to the bandwidth budget when a failure domain fails. */
   readonly gossipBytesPerS: number;
-  /** Bytes of news in one message, well under the 1,200 of a datagram that no path splits. */
-  readonly newsBytesPerMessage: number;
-  /** Views are compared with one random peer per interval; repairs what gossip missed. */
+  /**
+   * Bytes of updates in one message, well below the 1,200 bytes up to which no network path
+   * fragments a datagram.
+   */
+  readonly updateBytesPerMessage: number;
+  /** Interval of the anti-entropy sync with a random peer, which repairs what gossip missed. */
   readonly syncIntervalMs: number;
-  /** Between two pages of one comparison: a joining member spreads the cost of the full view. */
+  /** Delay between two pages of a sync; spreads the cost of the full view when a member joins. */
   readonly syncPageIntervalMs: number;
   readonly syncPageMembers: number;
-  /** Pages that this member serves per second, whoever asks. */
+  /** Pages that this member serves per second to all requesters together. */
   readonly syncPagesPerS: number;
-  /** Dead members are remembered this long: longer than regions lose each other. */
+  /** How long dead members are retained; longer than a partition between regions lasts. */
   readonly deadRetentionMs: number;
-  /** One remembered dead member is probed per interval. */
+  /** Interval at which one of the retained dead members is probed. */
   readonly deadProbeIntervalMs: number;
-  /** Bound on remembered members, dead ones included. */
+  /** Maximum number of members in the table, dead ones included. */
   readonly maxMembers: number;
   readonly guards: MembershipGuards;
 }
--- a/packages/coordination/src/core/membership/probing.ts
+++ b/packages/coordination/src/core/membership/probing.ts
@@ -1,60 +1,80 @@
 /**
- * The probe: ping one member a second, ask a few others when it does not answer, suspect it when
- * they get no answer either. A probe that nobody at all answers says more about the prober than
- * about the probed, and is not held against the probed member in public.
+ * Failure detection by probes. Each member pings one other member per second, sends indirect probes
+ * through a few helpers if there is no answer, and suspects the member if the helpers get no answer
+ * either. If not even a helper answers, the prober itself is probably cut off, so the suspicion
+ * stays local and is not gossiped.
  */
 import { MemberState } from '../model/member.js';
 import { randomBelow } from '../random/random.js';
 import type { MembershipContext, MembershipEffect } from './effects.js';
 import { MembershipEffectKind } from './effects.js';
-import type { MemberNews } from './messages.js';
+import type { MemberUpdate } from './messages.js';
 import { MembershipMethod } from './messages.js';
-import { newsCount, takeNews } from './news-queue.js';
+import { updateCount, takeUpdates } from './news-queue.js';
 import type { MembershipState, PendingProbe } from './state.js';
-import { Spread, applyNews, findMember, pickPeer, replaceMember, takeBack } from './view.js';
+import {
+  Propagation,
+  applyUpdate,
+  findMember,
+  pickPeer,
+  replaceMember,
+  revertLocalSuspicion,
+} from './view.js';
 
-/** A member's own bad health stretches its timeouts and its probes at most this many times more. */
+/**
+ * Maximum health penalty. A member whose own probes fail multiplies its probe timeouts and
+ * intervals by one plus the penalty.
+ */
 const MAX_HEALTH_PENALTY = 2;
 
-/** Weight of the latest probe in the share that was answered: six failures in a row make it half. */
-const ANSWERED_WEIGHT = 1 / 8;
+/**
+ * Weight of the latest probe in the answered ratio: about six failures in a row halve the ratio.
+ */
+const ANSWERED_RATIO_WEIGHT = 1 / 8;
 
-/** Relayed probes at a time; more are refused by silence, and the requester asks others as well. */
+/**
+ * Maximum number of concurrent relayed probes. Further requests are ignored; the requester has sent
+ * its request to other helpers as well.
+ */
 const MAX_RELAYED_PROBES = 64;
 
-/** With more pieces than this waiting, each is sent less often so that all get their first turn. */
-const LONG_QUEUE = 64;
+/** With more queued updates than this, each is sent fewer times so that all are sent soon. */
+const LONG_QUEUE_UPDATES = 64;
 
 /**
- * How often each piece of news is sent by each member at the present size; a third of that while a
- * failure domain's worth of doubts waits, as what is missed then is repaired by comparing views.
+ * Returns how many times a member sends each update at the current fleet size. While the suspicions
+ * of a failing domain fill the queue, the limit is a third of that; the anti-entropy sync repairs
+ * what is missed.
  */
 export function sendLimit(state: MembershipState): number {
   const members = state.records.size + 1;
   const limit = state.options.retransmitFactor * Math.ceil(Math.log(members + 1));
-  const isLong = state.suspects.size > 0 && newsCount(state.news) > LONG_QUEUE;
+  const isLong = state.suspects.size > 0 && updateCount(state.news) > LONG_QUEUE_UPDATES;
   return isLong ? Math.ceil(limit / 3) : limit;
 }
 
-/** The news for one message. What is believed of the receiver goes first, so that it can contradict. */
-export function newsFor(state: MembershipState, receiver: string): MemberNews[] {
+/**
+ * Returns the updates for one message. The receiver's own entry goes first if it is not alive, so
+ * that the receiver can refute it.
+ */
+export function updatesFor(state: MembershipState, receiver: string): MemberUpdate[] {
   const record = state.records.get(receiver);
-  const news = takeNews(state.news, state.options.newsBytesPerMessage, sendLimit(state));
-  // What is held against it in silence would only make it contradict in vain.
-  if (record === undefined || record.stateBeforeSilence !== null) return news;
-  const { id, incarnation, state: held } = record.member;
-  if (held === MemberState.Alive) return news;
-  return [{ id, state: held, incarnation, details: null }, ...news];
+  const updates = takeUpdates(state.news, state.options.updateBytesPerMessage, sendLimit(state));
+  // A local suspicion is not sent: it was not gossiped, so there is nothing to refute.
+  if (record === undefined || record.stateBeforeSilence !== null) return updates;
+  const { id, incarnation, state: current } = record.member;
+  if (current === MemberState.Alive) return updates;
+  return [{ id, state: current, incarnation, details: null }, ...updates];
 }
 
-/** A ping to one member. */
+/** Creates a ping to one member. */
 export function ping(
   state: MembershipState,
   to: string,
   sequence: number,
   context: MembershipContext,
 ): MembershipEffect {
-  const news = newsFor(state, to);
+  const news = updatesFor(state, to);
   const message = {
     method: MembershipMethod.Ping,
     sequence,
@@ -66,15 +86,15 @@
 
 function shuffle(ids: string[], context: MembershipContext): void {
   for (let last = ids.length - 1; last > 0; last -= 1) {
-    const other = randomBelow(context.random, last + 1);
-    const moved = ids[last] ?? '';
-    ids[last] = ids[other] ?? '';
-    ids[other] = moved;
+    const swapIndex = randomBelow(context.random, last + 1);
+    const lastId = ids[last] ?? '';
+    ids[last] = ids[swapIndex] ?? '';
+    ids[swapIndex] = lastId;
   }
 }
 
-/** The next member of the round; the dead drop out of the order here. */
-function nextTarget(state: MembershipState, context: MembershipContext): string | null {
+/** Returns the next member of the round and removes dead members from the probe order. */
+function nextMemberToProbe(state: MembershipState, context: MembershipContext): string | null {
   for (let tries = state.probeOrder.length; tries > 0; tries -= 1) {
     if (state.probeIndex >= state.probeOrder.length) {
       state.probeIndex = 0;
@@ -92,119 +112,132 @@
   return null;
 }
 
-/** Starts the next probe of the round. */
+/** Starts a probe of the next member of the round. */
 export function startProbe(state: MembershipState, context: MembershipContext): MembershipEffect[] {
-  const target = nextTarget(state, context);
+  const target = nextMemberToProbe(state, context);
   if (target === null) return [];
   state.sequence += 1;
-  const stretch = 1 + state.healthPenalty;
+  const timeoutFactor = 1 + state.healthPenalty;
   state.probe = {
     target,
     sequence: state.sequence,
     startedAtMs: context.nowMs,
-    indirectAtMs: context.nowMs + state.options.probeTimeoutMs * stretch,
-    endsAtMs: context.nowMs + state.options.probeIntervalMs * stretch,
+    indirectAtMs: context.nowMs + state.options.probeTimeoutMs * timeoutFactor,
+    endsAtMs: context.nowMs + state.options.probeIntervalMs * timeoutFactor,
     nacks: 0,
   };
   return [ping(state, target, state.sequence, context)];
 }
 
-/** A longer gap than a stretched probe leaves is an end of contact. */
-const CONTACT_GAP_MS = 4_000;
+/**
+ * Maximum gap between answered probes. It is longer than a probe with the maximum health penalty.
+ */
+const MAX_CONTACT_GAP_MS = 4_000;
 
-/** Notes that an own probe was answered, by its target or by a helper. */
-export function noteContact(state: MembershipState, nowMs: number): void {
-  if (nowMs - state.lastContactMs > CONTACT_GAP_MS) state.contactSinceMs = nowMs;
+/** Records that the target or a helper answered one of this member's probes. */
+export function recordContact(state: MembershipState, nowMs: number): void {
+  if (nowMs - state.lastContactMs > MAX_CONTACT_GAP_MS) state.contactSinceMs = nowMs;
   state.lastContactMs = nowMs;
 }
 
-/** Whether this member has been in contact with others all the time since `sinceMs`. */
+/**
+ * Returns whether this member has been in contact with others without a long gap since `sinceMs`.
+ */
 export function inContactSince(state: MembershipState, sinceMs: number, nowMs: number): boolean {
-  return state.contactSinceMs <= sinceMs && nowMs - state.lastContactMs <= CONTACT_GAP_MS;
+  return state.contactSinceMs <= sinceMs && nowMs - state.lastContactMs <= MAX_CONTACT_GAP_MS;
 }
 
-function noteOutcome(state: MembershipState, answered: number): void {
-  state.answeredRatio += (answered - state.answeredRatio) * ANSWERED_WEIGHT;
+function recordProbeOutcome(state: MembershipState, answered: number): void {
+  state.answeredRatio += (answered - state.answeredRatio) * ANSWERED_RATIO_WEIGHT;
 }
 
 /**
- * Share of this member's recent probes that were answered. Probes go to all members in turn, so it
- * estimates within half a minute what share of the fleet can be reached, at any size. The beliefs
- * cannot: a member that is cut off, alone or with few others, would need as many probes as there are
- * members to doubt half of them.
+ * Returns the share of this member's recent probes that were answered, 0 to 1. Probes go to all
+ * members in turn, so within half a minute the ratio estimates what share of the fleet is
+ * reachable, at any fleet size. Member states are too slow for this: a member that is cut off,
+ * alone or with few others, needs one probe for each member that it suspects.
  */
 export function answeredRatio(state: MembershipState): number {
   return state.answeredRatio;
 }
 
-function askHelpers(
+function startIndirectProbes(
   state: MembershipState,
   probe: PendingProbe,
   context: MembershipContext,
 ): MembershipEffect[] {
   probe.indirectAtMs = null;
-  const asked: string[] = [];
-  for (let helper = 0; helper < state.options.indirectProbes; helper += 1) {
-    const to = pickPeer(state, [probe.target, ...asked], context);
-    if (to !== null) asked.push(to);
+  const helpers: string[] = [];
+  for (let count = 0; count < state.options.indirectProbes; count += 1) {
+    const to = pickPeer(state, [probe.target, ...helpers], context);
+    if (to !== null) helpers.push(to);
   }
   const { sequence, target } = probe;
   const message = { method: MembershipMethod.Probe, sequence, target } as const;
-  return asked.map((to) => ({ kind: MembershipEffectKind.SendDatagram, to, message }));
+  return helpers.map((to) => ({ kind: MembershipEffectKind.SendDatagram, to, message }));
 }
 
 /**
- * Decides on a probe without an answer. Failure guarded against: a member that was itself cut off
- * returns and declares the whole fleet dead, and everybody has to contradict. It shows as a probe
- * that not even the helpers answered; such a suspicion is kept to oneself, never grows into a death
- * and is dropped on the first answer. Hearing others is not enough, since datagrams may be lost one
- * way only.
+ * Handles a probe that timed out. If not even a helper answered, the suspicion stays local: it is
+ * not gossiped, never leads to a declaration of death, and is reverted on the first answer. Without
+ * this, a member that was cut off declares the whole fleet dead when it reconnects, and every
+ * member has to refute. Received datagrams do not count as contact, because loss may affect only
+ * one direction.
  */
-function probeFailed(
+function handleProbeTimeout(
   state: MembershipState,
   probe: PendingProbe,
   context: MembershipContext,
 ): MembershipEffect[] {
   state.healthPenalty = Math.min(MAX_HEALTH_PENALTY, state.healthPenalty + 1);
-  noteOutcome(state, 0);
+  recordProbeOutcome(state, 0);
   const record = state.records.get(probe.target);
   if (record === undefined) return [];
-  const connected = probe.nacks > 0;
+  const isConnected = probe.nacks > 0;
   const { id, incarnation } = record.member;
-  if (!connected && state.options.guards.silenceIsOwnFault) {
-    return suspectInSilence(state, id, context);
+  if (!isConnected && state.options.guards.silenceIsOwnFault) {
+    return suspectLocally(state, id, context);
   }
-  const news = { id, state: MemberState.Suspect, incarnation, details: null };
-  return applyNews(state, news, Spread.Tell, 'no answer to direct and indirect probes', context);
+  const update = { id, state: MemberState.Suspect, incarnation, details: null };
+  return applyUpdate(
+    state,
+    update,
+    Propagation.Gossip,
+    'no answer to direct and indirect probes',
+    context,
+  );
 }
 
-function suspectInSilence(
+function suspectLocally(
   state: MembershipState,
   id: string,
   context: MembershipContext,
 ): MembershipEffect[] {
   const record = state.records.get(id);
   if (record === undefined) return [];
-  const held = record.member.state;
-  if (held === MemberState.Suspect || held === MemberState.Dead) return [];
+  const previous = record.member.state;
+  if (previous === MemberState.Suspect || previous === MemberState.Dead) return [];
   const member = { ...record.member, state: MemberState.Suspect };
   const reason = 'no answer, and none from helpers';
   const effect = replaceMember(state, record, member, reason, context);
-  record.stateBeforeSilence = held;
+  record.stateBeforeSilence = previous;
   state.silent.add(id);
   return [effect];
 }
 
-/** Takes suspicions back that were formed while this member was cut off. */
-export function endSilence(state: MembershipState, context: MembershipContext): MembershipEffect[] {
+/** Reverts the suspicions that this member formed while it was cut off. */
+export function revertIsolationSuspicions(
+  state: MembershipState,
+  context: MembershipContext,
+): MembershipEffect[] {
   const effects = [...state.silent].flatMap((id) =>
-    takeBack(state, id, 'contact is back', context),
+    revertLocalSuspicion(state, id, 'contact is back', context),
   );
   state.silent.clear();
   return effects;
 }
 
-/** Moves the probe under way on. */
+/** Advances the probe in progress: sends indirect probes or ends it when they are due. */
 export function continueProbe(
   state: MembershipState,
   context: MembershipContext,
@@ -213,27 +246,27 @@
   if (probe === null) return [];
   if (context.nowMs >= probe.endsAtMs) {
     state.probe = null;
-    return probeFailed(state, probe, context);
+    return handleProbeTimeout(state, probe, context);
   }
   if (probe.indirectAtMs !== null && context.nowMs >= probe.indirectAtMs) {
-    return askHelpers(state, probe, context);
+    return startIndirectProbes(state, probe, context);
   }
   return [];
 }
 
-/** The probe under way was answered. */
-export function probeAnswered(
+/** Handles an answer to the probe in progress. */
+export function handleProbeAnswer(
   state: MembershipState,
   context: MembershipContext,
 ): MembershipEffect[] {
   state.probe = null;
-  noteContact(state, context.nowMs);
+  recordContact(state, context.nowMs);
   state.healthPenalty = Math.max(0, state.healthPenalty - 1);
-  noteOutcome(state, 1);
-  return endSilence(state, context);
+  recordProbeOutcome(state, 1);
+  return revertIsolationSuspicions(state, context);
 }
 
-/** Pings a third member on behalf of `requester`. */
+/** Pings `target` on behalf of `requester`. */
 export function relayProbe(
   state: MembershipState,
   requester: string,
@@ -248,8 +281,10 @@
   return [ping(state, target, state.sequence, context)];
 }
 
-/** Tells requesters whose target did not answer that at least this helper lives. */
-export function endRelayedProbes(
+/**
+ * Sends a nack for each relayed probe without an answer, which shows that this helper is reachable.
+ */
+export function expireRelayedProbes(
   state: MembershipState,
   context: MembershipContext,
 ): MembershipEffect[] {
--- a/packages/coordination/src/core/membership/state.ts
+++ b/packages/coordination/src/core/membership/state.ts
@@ -1,86 +1,87 @@
 /**
- * The state of membership and its creation. One record of about 300 bytes a member; nothing here
- * grows with time, and every collection has a bound that follows from `maxMembers`.
+ * State of the membership protocol, its defaults and its creation. Each member takes one record of
+ * about 300 bytes. The state does not grow over time: `maxMembers` bounds every collection.
  */
 import type { Address } from '../model/configuration.js';
 import type { Member } from '../model/member.js';
 import { MemberState } from '../model/member.js';
 import type { MemberDetails } from './messages.js';
-import type { NewsQueue } from './news-queue.js';
-import { createNewsQueue, enqueueNews } from './news-queue.js';
+import type { UpdateQueue } from './news-queue.js';
+import { createUpdateQueue, enqueueUpdate } from './news-queue.js';
 import type { MembershipGuards, MembershipOptions } from './options.js';
 import { DIGEST_BUCKETS, toggleInDigest } from './digest.js';
 import type { MembershipContext } from './effects.js';
 
-/** What is held about one member. */
+/** Entry of one other member, with its suspicion timers. */
 export interface MemberRecord {
   member: Member;
   changedAtMs: number;
   /** When a suspect is declared dead; 0 for others. */
   suspectDeadlineMs: number;
-  /** When a suspect is asked itself for the next time; see `lastCalls`. */
-  lastCallAtMs: number;
+  /** When a suspect is pinged directly next; see `pingSuspects`. */
+  nextPingAtMs: number;
   /**
-   * Set while this member alone suspects it, having heard nobody or with its failure domain: told to
-   * no one, and taken back to this state.
+   * State before a local suspicion, to which the member reverts; null without one. A local
+   * suspicion is not gossiped. It is formed when this member may be cut off or the member's failure
+   * domain is lost.
    */
   stateBeforeSilence: MemberState | null;
 }
 
-/** The probe under way. */
+/** The probe in progress. */
 export interface PendingProbe {
   readonly target: string;
   readonly sequence: number;
   readonly startedAtMs: number;
-  /** When other members are asked, or null after that. */
+  /** When the indirect probes are sent; null once they were sent. */
   indirectAtMs: number | null;
   endsAtMs: number;
-  /** Helpers that answered at all: shows that this member is connected. */
+  /** Number of helpers that answered, which shows that this member is connected. */
   nacks: number;
 }
 
-/** A probe on behalf of another member. */
+/** A probe that this member relays for another member. */
 export interface RelayedProbe {
   readonly requester: string;
   readonly requesterSequence: number;
   readonly endsAtMs: number;
 }
 
-/** The comparison of views under way. */
+/** The anti-entropy sync in progress. */
 export interface PendingSync {
   readonly peer: string;
-  askedAtMs: number;
-  /** When the next page is asked for; null while one is under way. */
+  requestedAtMs: number;
+  /** When the next page is requested; null while a request is pending. */
   nextPageAtMs: number | null;
   nextBucket: number;
 }
 
-/** Everything membership knows. */
+/** State of the membership protocol in one process. */
 export interface MembershipState {
   readonly options: MembershipOptions;
   self: Member;
   readonly records: Map<string, MemberRecord>;
   readonly suspects: Set<string>;
-  /** Suspects that are kept to oneself; see `stateBeforeSilence`. */
+  /** Members suspected locally while this member may be cut off; see `stateBeforeSilence`. */
   readonly silent: Set<string>;
-  /** Members doubted with their failure domain, and until when; see `doubting.ts`. */
-  readonly doubted: Map<string, number>;
-  /** Members that were heard while their failure domain died, and until when that counts. */
-  readonly trusted: Map<string, number>;
-  doubtAtMs: number;
+  /** Members suspected locally because their failure domain is lost, and until when. */
+  readonly domainSuspects: Map<string, number>;
+  /** Members whose domain suspicion ended, and until when they are exempt from another one. */
+  readonly domainSuspicionExempt: Map<string, number>;
+  nextDomainCheckAtMs: number;
   readonly dead: Set<string>;
-  /** Order in which members are probed; shuffled anew after each round. */
+  /** Order in which members are probed; shuffled after each round. */
   readonly probeOrder: string[];
   probeIndex: number;
   sequence: number;
   probe: PendingProbe | null;
   readonly relayed: Map<number, RelayedProbe>;
   sync: PendingSync | null;
-  /** A member that was believed dead and was heard: its view is asked for first. */
+  /** A member marked as dead that sent a message; the next sync goes to it. */
   returnedPeer: string | null;
-  /** Until then dead members are probed every probe interval, since a partition is healing. */
+  /** Until when dead members are probed at the probe interval, because a partition is healing. */
   healingUntilMs: number;
-  readonly news: NewsQueue;
+  readonly news: UpdateQueue;
   readonly digests: Uint32Array;
   readonly timers: {
     probeAtMs: number;
@@ -88,38 +89,46 @@
     syncAtMs: number;
     deadProbeAtMs: number;
   };
-  /** The wake-up that was asked for; a later one shows that this process stood still. */
+  /** The requested wake-up time. A much later wake-up shows that this process was paused. */
   wakeAtMs: number;
-  /** When an own probe was last answered, by its target or by a helper. */
+  /** When the target or a helper last answered one of this member's probes. */
   lastContactMs: number;
-  /** Since when such answers have come without a long gap. */
+  /** Since when such answers have arrived without a long gap. */
   contactSinceMs: number;
-  /** No suspect is asked itself before this; keeps a failure domain's death from costing more. */
-  nextLastCallMs: number;
+  /**
+   * Earliest time of the next direct ping to a suspect; bounds the cost when a failure domain
+   * fails.
+   */
+  suspectPingNotBeforeMs: number;
   /** Share of recent probes that were answered, 0 to 1; see `answeredRatio`. */
   answeredRatio: number;
-  /** Grows with failed probes, shrinks with answered ones; stretches this member's timeouts. */
+  /**
+   * Increases with failed probes and decreases with answered ones; extends this member's timeouts.
+   */
   healthPenalty: number;
-  gossipBytes: number;
+  gossipBudgetBytes: number;
   gossipRefilledAtMs: number;
-  syncPages: number;
+  syncPageTokens: number;
   syncRefilledAtMs: number;
   readonly seeds: readonly string[];
 }
 
-/** Who this process is. */
+/** Identity of this process. */
 export interface SelfDescription extends MemberDetails {
   /** Control address as `host:port`. */
   readonly id: string;
-  /** Drawn anew at each start, e.g. wall-clock seconds; corrected when others remember a higher. */
+  /**
+   * Chosen at each start, e.g. wall-clock seconds. It is raised when other members hold a higher
+   * one for this id.
+   */
   readonly incarnation: number;
 }
 
-/** The default guards: all in place. */
+/** Default guards, all enabled. */
 export const MEMBERSHIP_GUARDS: MembershipGuards = {
-  supersedes: (held, news) => {
-    if (news.incarnation !== held.incarnation) return news.incarnation > held.incarnation;
-    return stateRank(news.state) > stateRank(held.state);
+  supersedes: (current, update) => {
+    if (update.incarnation !== current.incarnation) return update.incarnation > current.incarnation;
+    return stateRank(update.state) > stateRank(current.state);
   },
   pauseThresholdMs: 500,
   silenceIsOwnFault: true,
@@ -127,7 +136,7 @@
   probesDead: true,
 };
 
-/** The default settings; see docs/design/membership.md for the arithmetic. */
+/** Default options; see docs/design/membership.md for the arithmetic. */
 export const MEMBERSHIP_OPTIONS: MembershipOptions = {
   probeIntervalMs: 1_000,
   probeTimeoutMs: 300,
@@ -137,7 +146,7 @@
   gossipIntervalMs: 200,
   gossipFanout: 2,
   gossipBytesPerS: 1_500,
-  newsBytesPerMessage: 600,
+  updateBytesPerMessage: 600,
   syncIntervalMs: 30_000,
   syncPageIntervalMs: 500,
   syncPageMembers: 32,
@@ -149,8 +158,9 @@
 };
 
 /**
- * At one incarnation a member is either alive or leaving, then suspect, then dead: only the member
- * itself moves to a higher incarnation, so news of one incarnation has a single order.
+ * Ranks the states within one incarnation: alive or leaving, then suspect, then dead. Only the
+ * member itself moves to a higher incarnation, so the updates of one incarnation are totally
+ * ordered.
  */
 function stateRank(state: MemberState): number {
   switch (state) {
@@ -164,21 +174,21 @@
   }
 }
 
-/** Splits `host:port`; the port is what follows the last colon. */
+/** Parses `host:port`. The port follows the last colon. */
 export function parseMemberId(id: string): Address {
   const colon = id.lastIndexOf(':');
   return { host: id.slice(0, colon), port: Number(id.slice(colon + 1)) };
 }
 
-/** The details of a member that are sent with the news of its start. */
+/** Returns the details of a member, which the update about its start carries. */
 export function detailsOf(member: Member): MemberDetails {
   const { kind, failureDomain, target } = member;
   return { kind, failureDomain, target };
 }
 
 /**
- * A member that knows itself and its seed peers. Its first probe comes at a random moment of the
- * interval, so that processes started together do not act together.
+ * Creates the state of a member that knows only itself and its seeds. The first probe is sent at a
+ * random time within the interval, so that processes that start together do not probe in lockstep.
  */
 export function createMembership(
   self: SelfDescription,
@@ -195,8 +205,8 @@
   };
   const digests = new Uint32Array(DIGEST_BUCKETS);
   toggleInDigest(digests, member, context.hash32);
-  const news = createNewsQueue();
-  enqueueNews(news, {
+  const news = createUpdateQueue();
+  enqueueUpdate(news, {
     id: self.id,
     state: MemberState.Alive,
     incarnation: self.incarnation,
@@ -208,9 +218,9 @@
     records: new Map(),
     suspects: new Set(),
     silent: new Set(),
-    doubted: new Map(),
-    trusted: new Map(),
-    doubtAtMs: nowMs,
+    domainSuspects: new Map(),
+    domainSuspicionExempt: new Map(),
+    nextDomainCheckAtMs: nowMs,
     dead: new Set(),
     probeOrder: [],
     probeIndex: 0,
@@ -231,12 +241,12 @@
     wakeAtMs: nowMs,
     lastContactMs: nowMs,
     contactSinceMs: nowMs,
-    nextLastCallMs: nowMs,
+    suspectPingNotBeforeMs: nowMs,
     answeredRatio: 1,
     healthPenalty: 0,
-    gossipBytes: options.gossipBytesPerS,
+    gossipBudgetBytes: options.gossipBytesPerS,
     gossipRefilledAtMs: nowMs,
-    syncPages: options.syncPagesPerS,
+    syncPageTokens: options.syncPagesPerS,
     syncRefilledAtMs: nowMs,
     seeds: seeds.filter((seed) => seed !== self.id),
   };
--- a/packages/coordination/src/core/membership/syncing.ts
+++ b/packages/coordination/src/core/membership/syncing.ts
@@ -1,7 +1,7 @@
 /**
- * Comparing views. A joining member fetches the whole view page by page from its seeds and then
- * from random peers; later each member compares its digests with one random peer now and then,
- * which repairs whatever gossip missed for a few hundred bytes.
+ * Anti-entropy sync. A joining member fetches the whole view page by page, first from its seeds and
+ * then from random peers. After that each member periodically compares its digests with one random
+ * peer, which repairs what gossip missed at a cost of a few hundred bytes.
  */
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
@@ -11,50 +11,52 @@
 import type { MembershipContext, MembershipEffect } from './effects.js';
 import { MembershipEffectKind } from './effects.js';
 import { malformedMembershipMessage, syncBusy } from './failures.js';
-import type { EncodedNews, MemberNews, SyncAnswer, SyncRequest } from './messages.js';
+import type { EncodedUpdate, MemberUpdate, SyncAnswer, SyncRequest } from './messages.js';
 import type { MembershipState, PendingSync } from './state.js';
-import { Spread, applyNews, newsOf, pickPeer } from './view.js';
-import { decodeNews, encodeNews } from './wire.js';
+import { Propagation, applyUpdate, updateOf, pickPeer } from './view.js';
+import { decodeUpdates, encodeUpdate } from './wire.js';
 
-/** A comparison that stands still this long is given up: its answer was lost. */
+/** A sync without an answer for this long is abandoned, because the answer was lost. */
 const SYNC_TIMEOUT_MS = 10_000;
 
 /**
- * Views that differed are compared again this soon: during a mass start the peer did not know
- * everybody either.
+ * Delay until the next sync after the views differed. During a mass start the peer's view is
+ * incomplete too.
  */
-const DIFFERED_RETRY_MS = 4_000;
+const DIFFERING_VIEW_RETRY_MS = 4_000;
 
-/** A member that knows nobody tries its seeds this often. */
+/** Interval at which a member that knows no others retries its seeds. */
 const JOIN_RETRY_MS = 1_000;
 
-/** With as many suspects a failure domain seems to die, and views differ by the moment. */
+/** With this many suspects a failure domain is probably failing, and views change constantly. */
 const MANY_SUSPECTS = 20;
 
-/** Time that the dying of a failure domain takes; comparing views waits for its end. */
-const MASS_DEATH_MS = 20_000;
+/**
+ * Time until the failure of a domain has spread to all members; the sync is postponed until then.
+ */
+const DOMAIN_FAILURE_MS = 20_000;
 
-/** Share of comparisons that go to a seed which was never met, while there is one. */
-const STRANGE_SEED_RATIO = 0.5;
+/** Share of syncs that go to an unknown seed while there is one. */
+const UNKNOWN_SEED_RATIO = 0.5;
 
 /**
- * The peer to compare views with. Failure guarded against: processes that start together meet in
- * two groups that never hear of each other. It shows as a seed that was never met, in one group at
- * least, since the seeds are known to all.
+ * Chooses the peer for the next sync. Some syncs go to seeds that are not in the table yet. Without
+ * this, processes that start together can form two groups that never discover each other. In at
+ * least one of the groups a seed is unknown then, because all processes have the same seeds.
  */
 function choosePeer(state: MembershipState, context: MembershipContext): string | null {
-  const returned = state.returnedPeer;
+  const returnedPeerId = state.returnedPeer;
   state.returnedPeer = null;
-  if (returned !== null) return returned;
-  const strangeSeeds = state.seeds.filter((seed) => !state.records.has(seed));
-  const seed = strangeSeeds[randomBelow(context.random, Math.max(1, strangeSeeds.length))] ?? null;
-  if (seed !== null && context.random() < STRANGE_SEED_RATIO) return seed;
+  if (returnedPeerId !== null) return returnedPeerId;
+  const unknownSeeds = state.seeds.filter((seed) => !state.records.has(seed));
+  const seed = unknownSeeds[randomBelow(context.random, Math.max(1, unknownSeeds.length))] ?? null;
+  if (seed !== null && context.random() < UNKNOWN_SEED_RATIO) return seed;
   return pickPeer(state, [], context) ?? seed ?? state.seeds[0] ?? null;
 }
 
 function scheduleSync(state: MembershipState, context: MembershipContext): void {
-  const alone = state.records.size === 0;
-  const intervalMs = alone ? JOIN_RETRY_MS : state.options.syncIntervalMs;
+  const isAlone = state.records.size === 0;
+  const intervalMs = isAlone ? JOIN_RETRY_MS : state.options.syncIntervalMs;
   state.timers.syncAtMs = context.nowMs + intervalMs * (0.5 + context.random());
 }
 
@@ -64,16 +66,16 @@
   context: MembershipContext,
 ): MembershipEffect {
   sync.nextPageAtMs = null;
-  sync.askedAtMs = context.nowMs;
+  sync.requestedAtMs = context.nowMs;
   const request: SyncRequest = {
     digests: [...state.digests],
     fromBucket: sync.nextBucket,
-    self: encodeNews(newsOf(state.self)),
+    self: encodeUpdate(updateOf(state.self)),
   };
   return { kind: MembershipEffectKind.RequestSync, to: sync.peer, request };
 }
 
-/** Starts or continues a comparison when one is due. */
+/** Starts a sync or requests its next page when due. */
 export function continueSync(
   state: MembershipState,
   context: MembershipContext,
@@ -83,14 +85,14 @@
   if (context.nowMs < state.timers.syncAtMs) return [];
   scheduleSync(state, context);
   if (state.suspects.size >= MANY_SUSPECTS) {
-    state.timers.syncAtMs = context.nowMs + MASS_DEATH_MS * (1 + context.random());
+    state.timers.syncAtMs = context.nowMs + DOMAIN_FAILURE_MS * (1 + context.random());
     return [];
   }
   const peer = choosePeer(state, context);
   if (peer === null) return [];
-  const started = { peer, askedAtMs: context.nowMs, nextPageAtMs: null, nextBucket: 0 };
-  state.sync = started;
-  return [requestPage(state, started, context)];
+  const startedSync = { peer, requestedAtMs: context.nowMs, nextPageAtMs: null, nextBucket: 0 };
+  state.sync = startedSync;
+  return [requestPage(state, startedSync, context)];
 }
 
 function continuePages(
@@ -101,24 +103,24 @@
   if (sync.nextPageAtMs !== null && context.nowMs >= sync.nextPageAtMs) {
     return [requestPage(state, sync, context)];
   }
-  const waitingSinceMs = context.nowMs - sync.askedAtMs;
-  if (sync.nextPageAtMs === null && waitingSinceMs >= SYNC_TIMEOUT_MS) state.sync = null;
+  const waitedMs = context.nowMs - sync.requestedAtMs;
+  if (sync.nextPageAtMs === null && waitedMs >= SYNC_TIMEOUT_MS) state.sync = null;
   return [];
 }
 
-/** When the comparison wants to be woken. */
+/** Returns when {@link continueSync} is due next. */
 export function syncWakeAtMs(state: MembershipState): number {
   if (state.sync === null) return state.timers.syncAtMs;
-  return state.sync.nextPageAtMs ?? state.sync.askedAtMs + SYNC_TIMEOUT_MS;
+  return state.sync.nextPageAtMs ?? state.sync.requestedAtMs + SYNC_TIMEOUT_MS;
 }
 
-function takePageAllowance(state: MembershipState, nowMs: number): boolean {
+function takePageToken(state: MembershipState, nowMs: number): boolean {
   const { syncPagesPerS } = state.options;
   const elapsedS = Math.max(0, nowMs - state.syncRefilledAtMs) / 1_000;
-  state.syncPages = Math.min(syncPagesPerS, state.syncPages + elapsedS * syncPagesPerS);
+  state.syncPageTokens = Math.min(syncPagesPerS, state.syncPageTokens + elapsedS * syncPagesPerS);
   state.syncRefilledAtMs = nowMs;
-  if (state.syncPages < 1) return false;
-  state.syncPages -= 1;
+  if (state.syncPageTokens < 1) return false;
+  state.syncPageTokens -= 1;
   return true;
 }
 
@@ -130,21 +132,21 @@
   return differing;
 }
 
-function newsByBucket(
+function updatesByBucket(
   state: MembershipState,
-  wanted: ReadonlySet<number>,
+  buckets: ReadonlySet<number>,
   context: MembershipContext,
-): Map<number, MemberNews[]> {
-  const grouped = new Map<number, MemberNews[]>();
-  // What is held against a member in silence is told to nobody.
+): Map<number, MemberUpdate[]> {
+  const grouped = new Map<number, MemberUpdate[]>();
+  // Local suspicions are not sent to other members.
   const members = [...state.records.values()].map(({ member, stateBeforeSilence }) =>
     stateBeforeSilence === null ? member : { ...member, state: stateBeforeSilence },
   );
   for (const member of [...members, state.self]) {
     const bucket = bucketOf(member.id, context.hash32);
-    if (!wanted.has(bucket)) continue;
+    if (!buckets.has(bucket)) continue;
     const group = grouped.get(bucket) ?? [];
-    group.push(newsOf(member));
+    group.push(updateOf(member));
     grouped.set(bucket, group);
   }
   return grouped;
@@ -158,85 +160,85 @@
 }
 
 /**
- * Learns of the asker. Failure guarded against: in a mass start a member's news died out among peers
- * that knew few others, and it knows everybody while nobody knows it. It shows as an asker that is a
- * stranger here.
+ * Adds the requester to the table if it is unknown. Without this, a member can know all others
+ * while none knows it: during a mass start, the update about its start may reach its send limit
+ * among peers that know few other members.
  */
-function meetAsker(
+function learnRequester(
   state: MembershipState,
   request: SyncRequest,
   context: MembershipContext,
 ): MembershipEffect[] {
-  const [asker] = decodeNews([request.self]) ?? [];
-  if (asker === undefined || asker.id === state.self.id) return [];
-  return applyNews(state, asker, Spread.Tell, 'asked for the view', context);
+  const [requester] = decodeUpdates([request.self]) ?? [];
+  if (requester === undefined || requester.id === state.self.id) return [];
+  return applyUpdate(state, requester, Propagation.Gossip, 'asked for the view', context);
 }
 
 /**
- * What came of a request for the view. The effects are to be performed whatever the answer is: the
- * asker is known from now on, also where it is turned away.
+ * Result of a sync request. The effects must be performed even if the answer is a failure, because
+ * the requester is in the table from now on.
  */
-export interface SyncService {
+export interface SyncOutcome {
   readonly answer: Result<SyncAnswer, Failure>;
   readonly effects: readonly MembershipEffect[];
 }
 
 /**
- * Serves one page of this member's view. Errors: `sync-busy` when more pages are asked for than
- * this member serves a second, as when a failure domain returns at once, and the asker goes
- * elsewhere; `malformed-membership-message`.
+ * Serves one page of this member's view. Errors: `sync-busy` when the page limit per second is
+ * reached, for example when a whole failure domain restarts (the requester tries another peer);
+ * `malformed-membership-message`.
  */
 export function answerSync(
   state: MembershipState,
   request: SyncRequest,
   context: MembershipContext,
-): SyncService {
+): SyncOutcome {
   if (!isSyncRequest(request)) {
     const reason = 'not a request for the view';
     const malformed = malformedMembershipMessage.of({ method: 'member.sync', reason });
     return { answer: err(malformed), effects: [] };
   }
-  const effects = meetAsker(state, request, context);
-  return { answer: pageFor(state, request, context), effects };
+  const effects = learnRequester(state, request, context);
+  return { answer: buildPage(state, request, context), effects };
 }
 
-function pageFor(
+function buildPage(
   state: MembershipState,
   request: SyncRequest,
   context: MembershipContext,
 ): Result<SyncAnswer, Failure> {
   const differing = differingBuckets(state, request);
   if (differing.size === 0) return ok({ members: [], nextBucket: null });
-  if (!takePageAllowance(state, context.nowMs)) {
+  if (!takePageToken(state, context.nowMs)) {
     return err(syncBusy.of({ retryAfterMs: 1_000 / state.options.syncPagesPerS }));
   }
-  const grouped = newsByBucket(state, differing, context);
-  const members: EncodedNews[] = [];
+  const grouped = updatesByBucket(state, differing, context);
+  const members: EncodedUpdate[] = [];
   for (const bucket of differing) {
     if (members.length >= state.options.syncPageMembers) return ok({ members, nextBucket: bucket });
-    members.push(...(grouped.get(bucket) ?? []).map(encodeNews));
+    members.push(...(grouped.get(bucket) ?? []).map(encodeUpdate));
   }
   return ok({ members, nextBucket: null });
 }
 
-/** Takes a page in and asks for the next one after a pause. */
+/** Applies a page and schedules the request for the next one. */
 export function receiveSyncAnswer(
   state: MembershipState,
   from: string,
   answer: SyncAnswer,
   context: MembershipContext,
 ): MembershipEffect[] {
-  const members = decodeNews((answer as Partial<SyncAnswer> | null)?.members);
+  const members = decodeUpdates((answer as Partial<SyncAnswer> | null)?.members);
   if (members === null) {
     syncFailed(state, context);
     return [];
   }
-  const effects = members.flatMap((news) =>
-    applyNews(state, news, Spread.Keep, `view of ${from}`, context),
+  const effects = members.flatMap((update) =>
+    applyUpdate(state, update, Propagation.None, `view of ${from}`, context),
   );
   if (effects.length > 0) {
-    const againAtMs = context.nowMs + DIFFERED_RETRY_MS * (0.5 + context.random());
-    state.timers.syncAtMs = Math.min(state.timers.syncAtMs, againAtMs);
+    const retryAtMs = context.nowMs + DIFFERING_VIEW_RETRY_MS * (0.5 + context.random());
+    state.timers.syncAtMs = Math.min(state.timers.syncAtMs, retryAtMs);
   }
   const { sync } = state;
   if (sync?.peer !== from) return effects;
@@ -249,12 +251,12 @@
   return effects;
 }
 
-/** The peer did not answer or was busy: another one is tried soon. */
+/** Handles a sync that failed or was rejected as busy, and schedules another one soon. */
 export function syncFailed(state: MembershipState, context: MembershipContext): void {
   const failedPeer = state.sync?.peer;
   state.sync = null;
-  // A seed that is gone for good is asked now and then only.
-  const isStrangeSeed = failedPeer !== undefined && !state.records.has(failedPeer);
-  if (isStrangeSeed && state.records.size > 0) return;
+  // An unknown seed may be gone permanently, so its failure does not trigger an early retry.
+  const isUnknownSeed = failedPeer !== undefined && !state.records.has(failedPeer);
+  if (isUnknownSeed && state.records.size > 0) return;
   state.timers.syncAtMs = context.nowMs + JOIN_RETRY_MS * (0.5 + context.random());
 }
--- a/packages/coordination/src/core/membership/view.ts
+++ b/packages/coordination/src/core/membership/view.ts
@@ -1,6 +1,7 @@
 /**
- * Taking news in, and reading the view. All changes of belief pass through {@link applyNews}, where
- * the order of news is checked, so no path can bring an old belief back.
+ * Applies membership updates to the local view and reads from it. Every update from another member
+ * goes through {@link applyUpdate}, which checks its order, so a stale state cannot overwrite a
+ * newer one.
  */
 import type { Member } from '../model/member.js';
 import { MemberState } from '../model/member.js';
@@ -9,27 +10,30 @@
 import type { MembershipContext, MembershipEffect } from './effects.js';
 import { MembershipEffectKind } from './effects.js';
 import { membersFull } from './failures.js';
-import type { MemberDetails, MemberNews } from './messages.js';
-import { enqueueNews } from './news-queue.js';
+import type { MemberDetails, MemberUpdate } from './messages.js';
+import { enqueueUpdate } from './news-queue.js';
 import type { MemberRecord, MembershipState } from './state.js';
 import { detailsOf, parseMemberId } from './state.js';
 
-/** Whether news is passed on to others. */
-export enum Spread {
-  Tell = 'tell',
-  Keep = 'keep',
+/** Whether an update is gossiped on to other members. */
+export enum Propagation {
+  Gossip = 'tell',
+  None = 'keep',
 }
 
-/** News about a member as it is held, with its details. */
-export function newsOf(member: Member): MemberNews {
+/** Builds an update that describes the current state of a member, with its details. */
+export function updateOf(member: Member): MemberUpdate {
   const { id, state, incarnation } = member;
   return { id, state, incarnation, details: detailsOf(member) };
 }
 
-/** A suspect is asked itself this long before it is declared dead, and a second time halfway. */
-export const LAST_CALL_MS = 1_500;
+/**
+ * How long before its suspicion deadline a suspect is pinged directly. A second ping follows
+ * halfway to the deadline.
+ */
+export const FINAL_PING_LEAD_MS = 1_500;
 
-function track(state: MembershipState, record: MemberRecord, nowMs: number): void {
+function indexByState(state: MembershipState, record: MemberRecord, nowMs: number): void {
   const { id } = record.member;
   const memberState = record.member.state;
   state.suspects.delete(id);
@@ -37,16 +41,16 @@
   record.suspectDeadlineMs = 0;
   record.stateBeforeSilence = null;
   state.silent.delete(id);
-  state.doubted.delete(id);
+  state.domainSuspects.delete(id);
   if (memberState === MemberState.Suspect) {
     state.suspects.add(id);
     record.suspectDeadlineMs = nowMs + state.options.suspicionTimeoutMs;
-    record.lastCallAtMs = record.suspectDeadlineMs - LAST_CALL_MS;
+    record.nextPingAtMs = record.suspectDeadlineMs - FINAL_PING_LEAD_MS;
   }
   if (memberState === MemberState.Dead) state.dead.add(id);
 }
 
-/** Replaces what is held of a known member. */
+/** Replaces the record of a known member and updates all indexes and digests. */
 export function replaceMember(
   state: MembershipState,
   record: MemberRecord,
@@ -59,15 +63,15 @@
   record.member = member;
   record.changedAtMs = context.nowMs;
   toggleInDigest(state.digests, member, context.hash32);
-  track(state, record, context.nowMs);
+  indexByState(state, record, context.nowMs);
   if (previous === MemberState.Dead && member.state !== MemberState.Dead) {
     insertIntoProbeOrder(state, member.id, context);
   }
   return { kind: MembershipEffectKind.MemberChanged, member, previous, reason };
 }
 
-/** Takes a suspicion back that this member kept to itself. */
-export function takeBack(
+/** Reverts a suspicion that this member formed locally and did not gossip. */
+export function revertLocalSuspicion(
   state: MembershipState,
   id: string,
   reason: string,
@@ -79,7 +83,10 @@
   return [replaceMember(state, record, member, reason, context)];
 }
 
-/** A newcomer is probed at a random place of the round, so that starts together are spread. */
+/**
+ * Inserts a new member at a random position of the probe order. This spreads the probes of members
+ * that start at the same time.
+ */
 function insertIntoProbeOrder(
   state: MembershipState,
   id: string,
@@ -91,33 +98,33 @@
 
 function addMember(
   state: MembershipState,
-  news: MemberNews,
+  update: MemberUpdate,
   details: MemberDetails,
   context: MembershipContext,
 ): MembershipEffect {
-  if (state.records.size >= state.options.maxMembers && !forgetOldestDead(state)) {
+  if (state.records.size >= state.options.maxMembers && !evictOldestDead(state)) {
     const { maxMembers } = state.options;
-    const failure = membersFull.of({ maxMembers, id: news.id });
+    const failure = membersFull.of({ maxMembers, id: update.id });
     return { kind: MembershipEffectKind.Refused, failure };
   }
   const member: Member = {
-    id: news.id,
+    id: update.id,
     ...details,
-    address: parseMemberId(news.id),
-    incarnation: news.incarnation,
-    state: news.state,
+    address: parseMemberId(update.id),
+    incarnation: update.incarnation,
+    state: update.state,
   };
   const record: MemberRecord = {
     member,
     changedAtMs: context.nowMs,
     suspectDeadlineMs: 0,
-    lastCallAtMs: 0,
+    nextPingAtMs: 0,
     stateBeforeSilence: null,
   };
-  state.records.set(news.id, record);
+  state.records.set(update.id, record);
   toggleInDigest(state.digests, member, context.hash32);
-  track(state, record, context.nowMs);
-  if (news.state !== MemberState.Dead) insertIntoProbeOrder(state, news.id, context);
+  indexByState(state, record, context.nowMs);
+  if (update.state !== MemberState.Dead) insertIntoProbeOrder(state, update.id, context);
   return {
     kind: MembershipEffectKind.MemberChanged,
     member,
@@ -126,142 +133,156 @@
   };
 }
 
-/** Makes room by forgetting the member that has been dead longest. */
-function forgetOldestDead(state: MembershipState): boolean {
-  let oldest: MemberRecord | null = null;
+/** Evicts the member that has been dead longest. Returns false when there is no dead member. */
+function evictOldestDead(state: MembershipState): boolean {
+  let oldestDead: MemberRecord | null = null;
   for (const id of state.dead) {
     const record = state.records.get(id);
-    if (record !== undefined && (oldest === null || record.changedAtMs < oldest.changedAtMs)) {
-      oldest = record;
+    if (
+      record !== undefined &&
+      (oldestDead === null || record.changedAtMs < oldestDead.changedAtMs)
+    ) {
+      oldestDead = record;
     }
   }
-  if (oldest === null) return false;
-  forget(state, oldest.member.id);
+  if (oldestDead === null) return false;
+  removeMember(state, oldestDead.member.id);
   return true;
 }
 
-/** Drops a dead member from memory. */
-export function forget(state: MembershipState, id: string): void {
+/** Removes a dead member from the table. */
+export function removeMember(state: MembershipState, id: string): void {
   state.records.delete(id);
   state.dead.delete(id);
 }
 
 /**
- * Contradicts news about this process itself. Failure guarded against: others take a paused or
- * unreachable process, or its predecessor at the same address, for the whole truth and keep it out
- * for good. Only the process itself raises its incarnation, so its word supersedes theirs.
+ * Refutes an update about this process by raising its incarnation. Without this, a process that was
+ * paused or unreachable, or whose predecessor at the same address died, would stay excluded. Only
+ * the process itself raises its incarnation, so the refutation supersedes what other members hold.
  */
-function answerNewsOfSelf(
+function refuteUpdate(
   state: MembershipState,
-  news: MemberNews,
+  update: MemberUpdate,
   context: MembershipContext,
 ): void {
-  const isNewer = news.incarnation > state.self.incarnation;
-  // A new life may draw the number under which its predecessor said that it was leaving.
-  const differs = news.state !== state.self.state && news.state !== MemberState.Alive;
-  const concerns = isNewer || (differs && news.incarnation === state.self.incarnation);
-  if (!concerns || !state.options.guards.refutes) return;
+  const isNewer = update.incarnation > state.self.incarnation;
+  // A restarted process may get the incarnation with which its predecessor announced that it was
+  // leaving.
+  const differs = update.state !== state.self.state && update.state !== MemberState.Alive;
+  const needsRefutation = isNewer || (differs && update.incarnation === state.self.incarnation);
+  if (!needsRefutation || !state.options.guards.refutes) return;
   if (state.self.state === MemberState.Dead) return;
-  changeSelf(state, { ...state.self, incarnation: news.incarnation + 1 }, context);
+  updateSelf(state, { ...state.self, incarnation: update.incarnation + 1 }, context);
 }
 
-/** Replaces what this process says of itself and tells everybody. */
-export function changeSelf(state: MembershipState, self: Member, context: MembershipContext): void {
+/** Replaces this process's own entry and queues an update about it for gossip. */
+export function updateSelf(state: MembershipState, self: Member, context: MembershipContext): void {
   toggleInDigest(state.digests, state.self, context.hash32);
   state.self = self;
   toggleInDigest(state.digests, self, context.hash32);
-  enqueueNews(state.news, newsOf(self));
+  enqueueUpdate(state.news, updateOf(self));
 }
 
-/** Takes one piece of news in; returns the effects, none when it is no news. */
-export function applyNews(
+/** Applies one update. Returns no effects when the update is not newer than the current state. */
+export function applyUpdate(
   state: MembershipState,
-  news: MemberNews,
-  spread: Spread,
+  update: MemberUpdate,
+  propagation: Propagation,
   reason: string,
   context: MembershipContext,
 ): MembershipEffect[] {
-  if (news.id === state.self.id) {
-    answerNewsOfSelf(state, news, context);
+  if (update.id === state.self.id) {
+    refuteUpdate(state, update, context);
     return [];
   }
-  const record = state.records.get(news.id);
-  if (record === undefined) return applyNewsOfStranger(state, news, spread, context);
-  // What this member holds against another by itself does not count against news from others.
-  const held = { ...record.member, state: record.stateBeforeSilence ?? record.member.state };
-  if (!state.options.guards.supersedes(held, news)) return [];
-  const { incarnation } = news;
-  const details = news.details ?? detailsOf(record.member);
-  const member: Member = { ...record.member, ...details, incarnation, state: news.state };
+  const record = state.records.get(update.id);
+  if (record === undefined) return applyUpdateOfUnknownMember(state, update, propagation, context);
+  // A local suspicion does not take part in the ordering of updates from other members.
+  const current = { ...record.member, state: record.stateBeforeSilence ?? record.member.state };
+  if (!state.options.guards.supersedes(current, update)) return [];
+  const { incarnation } = update;
+  const details = update.details ?? detailsOf(record.member);
+  const member: Member = { ...record.member, ...details, incarnation, state: update.state };
   const effect = replaceMember(state, record, member, reason, context);
-  if (spread === Spread.Tell) enqueueNews(state.news, news);
+  if (propagation === Propagation.Gossip) enqueueUpdate(state.news, update);
   return [effect];
 }
 
-/** Without its details a stranger cannot be placed; the next comparison of views brings it. */
-function applyNewsOfStranger(
+/**
+ * Adds an unknown member. An update without details is ignored, because the member's failure domain
+ * and target are unknown; the next anti-entropy sync brings them.
+ */
+function applyUpdateOfUnknownMember(
   state: MembershipState,
-  news: MemberNews,
-  spread: Spread,
+  update: MemberUpdate,
+  propagation: Propagation,
   context: MembershipContext,
 ): MembershipEffect[] {
-  if (news.details === null) return [];
-  const effect = addMember(state, news, news.details, context);
-  const added = effect.kind === MembershipEffectKind.MemberChanged;
-  if (added && spread === Spread.Tell) enqueueNews(state.news, news);
+  if (update.details === null) return [];
+  const effect = addMember(state, update, update.details, context);
+  const isAdded = effect.kind === MembershipEffectKind.MemberChanged;
+  if (isAdded && propagation === Propagation.Gossip) enqueueUpdate(state.news, update);
   return [effect];
 }
 
-/** The belief about one member, this process included; undefined for a stranger. */
+/** Returns the current entry of a member, this process included; undefined if it is unknown. */
 export function findMember(state: MembershipState, id: string): Member | undefined {
   return id === state.self.id ? state.self : state.records.get(id)?.member;
 }
 
-/** Longer than a member of the target size needs to hear of all others: 36 pages, two a second. */
-const LEARNING_MS = 20_000;
+/**
+ * Time after which a process knows the whole fleet. Fetching the full view of a fleet of the target
+ * size takes 18 s: 36 pages at two pages per second.
+ */
+const FULL_VIEW_MS = 20_000;
 
 /**
- * Whether a member may be alive, as far as a process can tell that has been up for `upForMs`. Failure
- * guarded against: a process that has just started takes whom it has not met for dead; it shows as a
- * caller who is told that the outcome of a call is lost while the call runs. The guard holds because a
- * member that died is remembered by the others and heard of like any other.
+ * Returns whether a member may be alive, given that this process has been up for `upForMs`. An
+ * unknown member counts as possibly alive until the process has had time to fetch the full view.
+ * Without this, a process that has just started treats unknown members as dead and reports the
+ * outcome of a call as lost while the call is still running. Dead members are not mistaken for
+ * unknown ones, because other members retain them and report them like any other member.
  */
 export function mayBeAlive(state: MembershipState, id: string, upForMs: number): boolean {
   const member = findMember(state, id);
-  if (member === undefined) return upForMs < LEARNING_MS;
+  if (member === undefined) return upForMs < FULL_VIEW_MS;
   return member.state !== MemberState.Dead;
 }
 
-/** All members in a given state, this process included. */
+/** Returns all members in any of the given states, this process included. */
 export function membersIn(state: MembershipState, ...states: readonly MemberState[]): Member[] {
-  const found = states.includes(state.self.state) ? [state.self] : [];
+  const members = states.includes(state.self.state) ? [state.self] : [];
   for (const { member } of state.records.values()) {
-    if (states.includes(member.state)) found.push(member);
+    if (states.includes(member.state)) members.push(member);
   }
-  return found;
+  return members;
 }
 
-/** All members that are not dead, this process included. */
+/** Returns all members that are not dead, this process included. */
 export function presentMembers(state: MembershipState): Member[] {
   return membersIn(state, MemberState.Alive, MemberState.Suspect, MemberState.Leaving);
 }
 
-/** A random member that is alive or leaving, none of `except`; null when a few draws find none. */
+/**
+ * Picks a random member that is alive or leaving and not in `except`. Returns null when a few
+ * draws find none.
+ */
 export function pickPeer(
   state: MembershipState,
   except: readonly string[],
   context: MembershipContext,
 ): string | null {
   if (state.probeOrder.length === 0) return null;
-  const draws = Math.min(MAX_PEER_DRAWS, state.probeOrder.length * 2);
-  for (let draw = 0; draw < draws; draw += 1) {
+  const maxDraws = Math.min(MAX_PEER_DRAWS, state.probeOrder.length * 2);
+  for (let draw = 0; draw < maxDraws; draw += 1) {
     const id = state.probeOrder[randomBelow(context.random, state.probeOrder.length)];
     if (id !== undefined && !except.includes(id) && isReachable(state, id)) return id;
   }
   return null;
 }
 
-/** With two thirds of the order out of reach, twelve draws still find a peer in 99 of 100 tries. */
+/** With two thirds of the members unreachable, 12 draws still find a peer 99 times out of 100. */
 const MAX_PEER_DRAWS = 12;
 
 function isReachable(state: MembershipState, id: string): boolean {
--- a/packages/coordination/src/core/membership/wire.ts
+++ b/packages/coordination/src/core/membership/wire.ts
@@ -1,22 +1,22 @@
 /**
- * The positional encoding of membership messages and its strict decoding. A decoder trusts nothing:
- * anything unexpected is a typed failure, never an exception or a half-read message.
+ * Positional encoding and strict decoding of membership messages. Unexpected input always decodes
+ * to a typed failure, never to an exception or a partially decoded message.
  */
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
 import type { Failure } from '../failures/failure.js';
 import { MemberKind, MemberState } from '../model/member.js';
 import { malformedMembershipMessage } from './failures.js';
-import type { MemberDetails, MemberNews, MembershipMessage } from './messages.js';
+import type { MemberDetails, MemberUpdate, MembershipMessage } from './messages.js';
 import { MembershipMethod } from './messages.js';
 
-/** A JSON-RPC notification's method and parameters. */
+/** Method and parameters of a JSON-RPC notification. */
 export interface WireMessage {
   readonly method: string;
   readonly params: readonly unknown[];
 }
 
-/** Positions in this list are the codes on the wire: append only. */
+/** The index of each entry is its code on the wire, so entries may only be appended. */
 const STATE_CODES = [
   MemberState.Alive,
   MemberState.Suspect,
@@ -24,41 +24,41 @@
   MemberState.Dead,
 ] as const;
 
-/** Positions in this list are the codes on the wire: append only. */
+/** The index of each entry is its code on the wire, so entries may only be appended. */
 const KIND_CODES = [MemberKind.Entry, MemberKind.Sidecar] as const;
 
-/** Longest text taken from the wire for an id, a failure domain or a target. */
+/** Maximum length accepted for an id, a failure domain or a target. */
 const MAX_TEXT_CHARS = 255;
 
-/** Most news taken from one message; far more than fits in a datagram, enough for a page. */
-const MAX_NEWS = 4_096;
+/** Maximum updates per message: more than a datagram can hold, and enough for a sync page. */
+const MAX_UPDATES = 4_096;
 
-/** Most hints taken from one message. */
+/** Maximum hints per message. */
 const MAX_HINTS = 8;
 
-/** Encodes one piece of news as `[id, state, incarnation]` with the details appended if known. */
-export function encodeNews(news: MemberNews): unknown[] {
-  const head: unknown[] = [news.id, STATE_CODES.indexOf(news.state), news.incarnation];
-  if (news.details === null) return head;
-  const { kind, failureDomain, target } = news.details;
+/** Encodes an update as `[id, state, incarnation]`, followed by the details if they are known. */
+export function encodeUpdate(update: MemberUpdate): unknown[] {
+  const head: unknown[] = [update.id, STATE_CODES.indexOf(update.state), update.incarnation];
+  if (update.details === null) return head;
+  const { kind, failureDomain, target } = update.details;
   return [...head, KIND_CODES.indexOf(kind), failureDomain, target];
 }
 
-/** Encodes a message for a JSON-RPC notification. */
+/** Encodes a message as a JSON-RPC notification. */
 export function encodeMembershipMessage(message: MembershipMessage): WireMessage {
   switch (message.method) {
     case MembershipMethod.Ping:
     case MembershipMethod.Ack:
       return {
         method: message.method,
-        params: [message.sequence, message.hints, message.news.map(encodeNews)],
+        params: [message.sequence, message.hints, message.news.map(encodeUpdate)],
       };
     case MembershipMethod.Probe:
       return { method: message.method, params: [message.sequence, message.target] };
     case MembershipMethod.Nack:
       return { method: message.method, params: [message.sequence] };
     case MembershipMethod.Gossip:
-      return { method: message.method, params: [message.hints, message.news.map(encodeNews)] };
+      return { method: message.method, params: [message.hints, message.news.map(encodeUpdate)] };
   }
 }
 
@@ -81,24 +81,24 @@
   return { kind, failureDomain, target };
 }
 
-function decodeOneNews(value: unknown): MemberNews | null {
+function decodeUpdate(value: unknown): MemberUpdate | null {
   if (!Array.isArray(value)) return null;
-  const [id, stateCode, incarnation, ...rest] = value as unknown[];
+  const [id, stateCode, incarnation, ...detailParts] = value as unknown[];
   const state = isCount(stateCode) ? STATE_CODES[stateCode] : undefined;
   if (!isId(id) || state === undefined || !isCount(incarnation)) return null;
-  const details = rest.length > 0 ? decodeDetails(rest) : null;
-  if (rest.length > 0 && details === null) return null;
+  const details = detailParts.length > 0 ? decodeDetails(detailParts) : null;
+  if (detailParts.length > 0 && details === null) return null;
   return { id, state, incarnation, details };
 }
 
-/** Decodes a list of news, or null when any part of it is malformed. */
-export function decodeNews(value: unknown): readonly MemberNews[] | null {
-  if (!Array.isArray(value) || value.length > MAX_NEWS) return null;
-  const decoded: MemberNews[] = [];
+/** Decodes a list of updates. Returns null when any of them is malformed. */
+export function decodeUpdates(value: unknown): readonly MemberUpdate[] | null {
+  if (!Array.isArray(value) || value.length > MAX_UPDATES) return null;
+  const decoded: MemberUpdate[] = [];
   for (const item of value) {
-    const news = decodeOneNews(item);
-    if (news === null) return null;
-    decoded.push(news);
+    const update = decodeUpdate(item);
+    if (update === null) return null;
+    decoded.push(update);
   }
   return decoded;
 }
@@ -110,13 +110,13 @@
     : null;
 }
 
-function decodeCarrier(
+function decodePingOrAck(
   method: MembershipMethod.Ping | MembershipMethod.Ack,
   params: readonly unknown[],
 ): MembershipMessage | null {
-  const [sequence, rawHints, rawNews] = params;
+  const [sequence, rawHints, rawUpdates] = params;
   const hints = decodeHints(rawHints);
-  const news = decodeNews(rawNews);
+  const news = decodeUpdates(rawUpdates);
   if (!isCount(sequence) || hints === null || news === null) return null;
   return { method, sequence, hints, news };
 }
@@ -125,9 +125,9 @@
   const [first, second] = params;
   switch (method) {
     case MembershipMethod.Ping:
-      return decodeCarrier(MembershipMethod.Ping, params);
+      return decodePingOrAck(MembershipMethod.Ping, params);
     case MembershipMethod.Ack:
-      return decodeCarrier(MembershipMethod.Ack, params);
+      return decodePingOrAck(MembershipMethod.Ack, params);
     case MembershipMethod.Probe:
       if (!isCount(first) || !isId(second)) return null;
       return { method: MembershipMethod.Probe, sequence: first, target: second };
@@ -135,7 +135,7 @@
       return isCount(first) ? { method: MembershipMethod.Nack, sequence: first } : null;
     case MembershipMethod.Gossip: {
       const hints = decodeHints(first);
-      const news = decodeNews(second);
+      const news = decodeUpdates(second);
       if (hints === null || news === null) return null;
       return { method: MembershipMethod.Gossip, hints, news };
     }
@@ -144,7 +144,7 @@
   }
 }
 
-/** Decodes a notification. Errors: `malformed-membership-message`. */
+/** Decodes a JSON-RPC notification. Errors: `malformed-membership-message`. */
 export function decodeMembershipMessage(
   method: string,
   params: unknown,
@@ -155,7 +155,7 @@
   return err(malformedMembershipMessage.of({ method: method.slice(0, MAX_TEXT_CHARS), reason }));
 }
 
-/** Bytes of a datagram's payload that carries this message as a JSON-RPC notification. */
+/** Returns the payload bytes of a datagram that carries this message. */
 export function datagramBytes(message: WireMessage): number {
   return Buffer.byteLength(JSON.stringify({ jsonrpc: '2.0', ...message }));
 }
--- a/packages/coordination/test/core/membership/leaving-signs.test.ts
+++ b/packages/coordination/test/core/membership/leaving-signs.test.ts
@@ -1,4 +1,4 @@
-/** New work for a target stops with the first sign of its leaving. */
+/** Checks that any single sign that a target is leaving stops new work for it. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { LeavingSign, MemberState, combineLeavingSigns } from '../../../src/index.js';
@@ -7,7 +7,7 @@
 
 describe('signs of leaving', () => {
   describe('alone', () => {
-    it('allows new work without any sign, also when the list is unknown', () => {
+    it('allows new work without any sign, also when the VM list is unknown', () => {
       assert.deepEqual(combineLeavingSigns(healthy), []);
       assert.deepEqual(combineLeavingSigns({ ...healthy, listedLeaving: null }), []);
     });
@@ -21,15 +21,18 @@
       [{ ...healthy, sidecar: null }, LeavingSign.NeverSeen],
     ] as const;
     for (const [sources, sign] of cases) {
-      it(`stops new work by ${sign}`, () => {
+      it(`stops new work for the sign ${sign}`, () => {
         assert.deepEqual(combineLeavingSigns(sources), [sign]);
       });
     }
   });
 
   describe('together', () => {
-    /** The list lags and still says live: it cannot take back what the process itself announced. */
-    it('lets no source take back what another says', () => {
+    /**
+     * The VM list lags and still shows the VM as live, but it cannot override the target's own
+     * signal.
+     */
+    it('lets no source override another', () => {
       const sources = { listedLeaving: false, withdrawn: true, sidecar: MemberState.Leaving };
       const expected = [LeavingSign.Withdrawn, LeavingSign.OwnSignal];
       assert.deepEqual(combineLeavingSigns(sources), expected);
--- a/packages/coordination/test/core/membership/wire.test.ts
+++ b/packages/coordination/test/core/membership/wire.test.ts
@@ -1,8 +1,8 @@
-/** The encoding of membership datagrams: round trips, bounds, malformed input. */
+/** Encoding of membership datagrams: round trips, size limits and malformed input. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
-import type { MemberNews } from '../../../src/index.js';
+import type { MemberUpdate } from '../../../src/index.js';
 import {
   MEMBERSHIP_OPTIONS,
   MemberKind,
@@ -13,15 +13,15 @@
   encodeMembershipMessage,
 } from '../../../src/index.js';
 import {
-  createNewsQueue,
-  enqueueNews,
-  newsBytes,
-  takeNews,
+  createUpdateQueue,
+  enqueueUpdate,
+  updateBytes,
+  takeUpdates,
 } from '../../../src/core/membership/news-queue.js';
 
 const MAX_DATAGRAM_BYTES = 1_200;
 
-const newsArbitrary: fc.Arbitrary<MemberNews> = fc.record({
+const updateArbitrary: fc.Arbitrary<MemberUpdate> = fc.record({
   id: fc.ipV4().map((host) => `${host}:7000`),
   state: fc.constantFrom(...Object.values(MemberState)),
   incarnation: fc.nat(),
@@ -36,12 +36,12 @@
 
 describe('membership datagrams', () => {
   describe('decoding', () => {
-    it('gives back what was encoded', () => {
+    it('round-trips encoded messages', () => {
       const messages = fc.record({
         method: fc.constantFrom(MembershipMethod.Ping, MembershipMethod.Ack),
         sequence: fc.nat(),
         hints: fc.array(fc.nat(), { maxLength: 3 }),
-        news: fc.array(newsArbitrary, { maxLength: 5 }),
+        news: fc.array(updateArbitrary, { maxLength: 5 }),
       });
       fc.assert(
         fc.property(messages, (message) => {
@@ -54,7 +54,7 @@
       );
     });
 
-    it('answers malformed input with a typed failure and never throws', () => {
+    it('returns a typed failure for malformed input and never throws', () => {
       const methods = fc.oneof(fc.constantFrom(...Object.values(MembershipMethod)), fc.string());
       fc.assert(
         fc.property(methods, fc.jsonValue(), (method, params) => {
@@ -65,26 +65,26 @@
       );
     });
 
-    it('refuses news of an unknown state, a negative incarnation or an id without a port', () => {
+    it('rejects updates with an unknown state, a negative incarnation or an id without a port', () => {
       const bad = [
         ['10.0.0.1:7000', 9, 1],
         ['10.0.0.1:7000', 0, -1],
         ['10.0.0.1', 0, 1],
         ['10.0.0.1:7000', 0, 1, 7, 'fd', 't'],
       ];
-      for (const news of bad) {
-        assert.ok(decodeMembershipMessage(MembershipMethod.Gossip, [[], [news]]).isErr());
+      for (const update of bad) {
+        assert.ok(decodeMembershipMessage(MembershipMethod.Gossip, [[], [update]]).isErr());
       }
     });
   });
 
-  describe('news on a message', () => {
-    it('never makes a datagram larger than no path splits', () => {
+  describe('updates on a message', () => {
+    it('never produce a datagram large enough to be fragmented', () => {
       fc.assert(
-        fc.property(fc.array(newsArbitrary, { maxLength: 60 }), (news) => {
-          const queue = createNewsQueue();
-          for (const item of news) enqueueNews(queue, item);
-          const taken = takeNews(queue, MEMBERSHIP_OPTIONS.newsBytesPerMessage, 6);
+        fc.property(fc.array(updateArbitrary, { maxLength: 60 }), (updates) => {
+          const queue = createUpdateQueue();
+          for (const update of updates) enqueueUpdate(queue, update);
+          const taken = takeUpdates(queue, MEMBERSHIP_OPTIONS.updateBytesPerMessage, 6);
           const hints = [650_000, 100_000];
           const method = MembershipMethod.Ping;
           const wire = encodeMembershipMessage({ method, sequence: 1e9, hints, news: taken });
@@ -94,21 +94,21 @@
       );
     });
 
-    it('sends each piece as often as the limit says, fresh pieces first', () => {
-      const queue = createNewsQueue();
-      const news = (port: number): MemberNews => ({
+    it('are each sent up to the send limit, new ones first', () => {
+      const queue = createUpdateQueue();
+      const updateOfPort = (port: number): MemberUpdate => ({
         id: `10.0.0.1:${String(port)}`,
         state: MemberState.Alive,
         incarnation: 1,
         details: null,
       });
-      enqueueNews(queue, news(7001));
-      const room = newsBytes(news(7001));
-      assert.equal(takeNews(queue, room, 3)[0]?.id, '10.0.0.1:7001');
-      enqueueNews(queue, news(7002));
-      const order = [1, 2, 3, 4, 5].map(() => takeNews(queue, room, 3)[0]?.id.slice(-4));
+      enqueueUpdate(queue, updateOfPort(7001));
+      const budgetBytes = updateBytes(updateOfPort(7001));
+      assert.equal(takeUpdates(queue, budgetBytes, 3)[0]?.id, '10.0.0.1:7001');
+      enqueueUpdate(queue, updateOfPort(7002));
+      const order = [1, 2, 3, 4, 5].map(() => takeUpdates(queue, budgetBytes, 3)[0]?.id.slice(-4));
       assert.deepEqual(order, ['7002', '7001', '7002', '7001', '7002']);
-      assert.deepEqual(takeNews(queue, room, 3), []);
+      assert.deepEqual(takeUpdates(queue, budgetBytes, 3), []);
     });
   });
 });
