--- a/packages/coordination/src/core/routing/cache-news.ts
+++ b/packages/coordination/src/core/routing/cache-news.ts
@@ -1,4 +1,4 @@
-/** News of a target's prefix cache, as its sidecar passes the engine's cache events on. */
+/** Events of a target's prefix cache, as the target's sidecar forwards them from the engine. */
 
 /** What happened to cached blocks. */
 export enum CacheChange {
@@ -7,11 +7,11 @@
   Cleared = 'cleared',
 }
 
-/** One event; a hole in `sequence` means that events were lost. */
+/** One cache event. A gap in `sequence` means that events were lost. */
 export interface CacheNews {
   readonly epoch: string;
   readonly sequence: number;
   readonly change: CacheChange;
-  /** Fingerprints of the blocks concerned; each covers all text before it. */
+  /** Fingerprints of the affected blocks; each covers all text before it. */
   readonly blocks: readonly string[];
 }
--- a/packages/coordination/src/core/routing/candidates.ts
+++ b/packages/coordination/src/core/routing/candidates.ts
@@ -1,21 +1,22 @@
 /**
- * Which targets are weighed for a request: a random few of the subset, those that probably hold
- * the beginning of the prompt, and the prefix's homes. The number does not grow with the fleet.
+ * Selects the targets that are compared for a request: a random sample of the entry's subset, the
+ * targets that probably have the beginning of the prompt in their KV cache, and the home targets of
+ * the prefix. The number of candidates does not grow with the fleet.
  */
 import { randomBelow } from '../random/random.js';
 import type { Random } from '../random/random.js';
 import { likelyHolders } from './prefix-index.js';
-import { homesOf, wantsReports } from './router.js';
+import { homeTargetsOf, wantsReports } from './router.js';
 import type { Router } from './router.js';
 import type { TargetView } from './target-view.js';
 
-/** Candidates of the two phases. */
+/** Candidates for each of the two phases. */
 export interface Candidates {
-  readonly readers: readonly TargetView[];
-  readonly writers: readonly TargetView[];
+  readonly prefillTargets: readonly TargetView[];
+  readonly decodeTargets: readonly TargetView[];
 }
 
-/** Picks the candidates for a prompt that begins with these blocks. */
+/** Selects the candidates for a prompt that begins with the blocks `prefixBlocks`. */
 export function pickCandidates(
   router: Router,
   prefixBlocks: readonly string[],
@@ -23,49 +24,56 @@
   nowMs: number,
   random: Random,
 ): Candidates {
-  const readers = sample(router.readers, router.options.choices, random);
-  const writers = sample(router.writers, router.options.choices, random);
-  for (const view of affine(router, prefixBlocks)) {
-    if (!view.accepting || !isLoadKnown(router, view, nowMs, random)) continue;
-    const list = router.options.profile.roles[view.role].maxBatch > 0 ? writers : readers;
-    if (!list.includes(view)) list.push(view);
+  const prefillTargets = sample(router.readers, router.options.choices, random);
+  const decodeTargets = sample(router.writers, router.options.choices, random);
+  for (const view of affinityTargets(router, prefixBlocks)) {
+    if (!view.accepting || !isLoadKnownOrExplored(router, view, nowMs, random)) continue;
+    const phaseTargets =
+      router.options.profile.roles[view.role].maxBatch > 0 ? decodeTargets : prefillTargets;
+    if (!phaseTargets.includes(view)) phaseTargets.push(view);
   }
-  if (excluded.size === 0) return { readers, writers };
+  if (excluded.size === 0) return { prefillTargets, decodeTargets };
   return {
-    readers: readers.filter((view) => !excluded.has(view.name)),
-    writers: writers.filter((view) => !excluded.has(view.name)),
+    prefillTargets: prefillTargets.filter((view) => !excluded.has(view.name)),
+    decodeTargets: decodeTargets.filter((view) => !excluded.has(view.name)),
   };
 }
 
-/** Part of the requests that may go to a target whose load is unknown, to learn it. */
-const EXPLORED_SHARE = 0.05;
+/** Share of the requests that may go to a target with unknown load, to learn its load. */
+const EXPLORATION_PROBABILITY = 0.05;
 
-/** Whether the load of a target is known, or this request may find it out. */
-function isLoadKnown(router: Router, view: TargetView, nowMs: number, random: Random): boolean {
-  // A home outside the subset of all entries has no reports and looks idle to each of them: all
-  // would send to it at once. The first answer brings its load, and reports follow while it is used.
+/** Returns whether the target's load is known, or this request may explore it. */
+function isLoadKnownOrExplored(
+  router: Router,
+  view: TargetView,
+  nowMs: number,
+  random: Random,
+): boolean {
+  // A home target that is in no entry's subset has no reports and looks idle to every entry, so all
+  // entries would send to it at once. Its first answer carries its load, and the entry receives its
+  // reports while it uses the target.
   if (view.report !== null && wantsReports(router, view.name, nowMs)) return true;
-  return random() < EXPLORED_SHARE;
+  return random() < EXPLORATION_PROBABILITY;
 }
 
-function affine(router: Router, prefixBlocks: readonly string[]): readonly TargetView[] {
-  const first = prefixBlocks[0];
-  if (first === undefined) return [];
-  const found: TargetView[] = [...homesOf(router, first)];
+function affinityTargets(router: Router, prefixBlocks: readonly string[]): readonly TargetView[] {
+  const firstBlock = prefixBlocks[0];
+  if (firstBlock === undefined) return [];
+  const targets: TargetView[] = [...homeTargetsOf(router, firstBlock)];
   for (const index of likelyHolders(router.prefixes, prefixBlocks)) {
-    const view = router.byIndex[index];
-    if (view !== undefined) found.push(view);
+    const view = router.viewsByIndex[index];
+    if (view !== undefined) targets.push(view);
   }
-  return found;
+  return targets;
 }
 
-/** Up to `count` different members of the list; all, in order, where it is no longer. */
-function sample<T>(list: readonly T[], count: number, random: Random): T[] {
-  if (list.length <= count) return [...list];
+/** Returns up to `count` different items at random, or all in order if there are no more. */
+function sample<T>(items: readonly T[], count: number, random: Random): T[] {
+  if (items.length <= count) return [...items];
   const chosen = new Set<T>();
   for (let draw = 0; draw < count; draw += 1) {
-    const member = list[randomBelow(random, list.length)];
-    if (member !== undefined) chosen.add(member);
+    const item = items[randomBelow(random, items.length)];
+    if (item !== undefined) chosen.add(item);
   }
   return [...chosen];
 }
--- a/packages/coordination/src/core/routing/engine-profile.ts
+++ b/packages/coordination/src/core/routing/engine-profile.ts
@@ -1,42 +1,42 @@
 /**
- * What is known of how fast an engine works. Predictions of a router and forecasts of a planner
- * both come from these few slopes, which the operator measures once per kind of engine; reports
- * correct them while the system runs.
+ * Performance model of an engine. The predictions of the router and the forecasts of the planner
+ * are both computed from these few coefficients, which the operator measures once per kind of
+ * engine. Load reports correct them at run time.
  */
 import { EngineRole } from '../model/configuration.js';
 
-/** Figures of an engine that depend on its role. */
+/** Coefficients of an engine that depend on its role. */
 export interface RoleProfile {
-  /** Fixed time of one step, in milliseconds, however small the batch. */
+  /** Fixed time of one step in milliseconds, independent of the batch size. */
   readonly stepBaseMs: number;
-  /** Time of one prompt token inside a step, in milliseconds. */
+  /** Time that each prompt token adds to a step, in milliseconds. */
   readonly prefillMsPerToken: number;
-  /** Most prompt tokens that one step takes; 0 where the role reads no prompts. */
+  /** Maximum prompt tokens per step; 0 if the role runs no prefill. */
   readonly chunkTokens: number;
-  /** Most answers that are written at once; 0 where the role writes none. */
+  /** Maximum number of answers decoded at once; 0 if the role runs no decode. */
   readonly maxBatch: number;
-  /** KV cache memory, in tokens. */
+  /** Capacity of the KV cache, in tokens. */
   readonly kvCapacityTokens: number;
 }
 
-/** Figures of one kind of engine. */
+/** Coefficients of one kind of engine. */
 export interface EngineProfile {
   readonly roles: Readonly<Record<EngineRole, RoleProfile>>;
-  /** Added to a step by each answer in the batch, in milliseconds. */
+  /** Time that each answer in the batch adds to a step, in milliseconds. */
   readonly perSequenceMs: number;
-  /** Added to a step by each token of context in the batch, in milliseconds. */
+  /** Time that each context token in the batch adds to a step, in milliseconds. */
   readonly perContextTokenMs: number;
-  /** Fixed time to hand KV cache to another engine, in milliseconds. */
+  /** Fixed time of a KV cache transfer to another engine, in milliseconds. */
   readonly transferBaseMs: number;
-  /** Time to hand over the KV cache of one token, in milliseconds. */
+  /** Time to transfer the KV cache of one token, in milliseconds. */
   readonly transferMsPerToken: number;
-  /** How long a role change takes an engine away, after it has drained, in milliseconds. */
+  /** How long an engine is unavailable during a role change, after draining, in milliseconds. */
   readonly roleChangeMs: number;
 }
 
 /**
- * An engine of eight accelerators as the target size implies it: 3,150 tokens a second and 8
- * requests a second per server, 27 in 100 of the work being prefill.
+ * Profile of an engine with eight accelerators, derived from the load of the planned deployment:
+ * 3,150 tokens and 8 requests per second and server, with prefill as 27 % of the work.
  */
 export const DEFAULT_ENGINE_PROFILE: EngineProfile = {
   roles: {
@@ -69,7 +69,7 @@
   roleChangeMs: 6000,
 };
 
-/** Time of a step without prompt tokens for a batch of that size and context, in milliseconds. */
+/** Returns the time of a decode step for a batch of this size and context, in milliseconds. */
 export function decodeStepMs(
   profile: EngineProfile,
   role: EngineRole,
@@ -83,7 +83,7 @@
   );
 }
 
-/** Time to hand the KV cache of that many tokens to another engine, in milliseconds. */
+/** Returns the time to transfer the KV cache of `tokens` tokens, in milliseconds. */
 export function transferMs(profile: EngineProfile, tokens: number): number {
   return profile.transferBaseMs + tokens * profile.transferMsPerToken;
 }
--- a/packages/coordination/src/core/routing/load-report.ts
+++ b/packages/coordination/src/core/routing/load-report.ts
@@ -1,21 +1,21 @@
 /**
- * Reports of a target's load. They are old when they arrive; what the receiver did itself since
- * the report's time is added to them, so that entries do not all run to the target that looked
- * idle a moment ago.
+ * Load reports of targets. A report is already outdated when it arrives, so the receiver adds its
+ * own dispatches since the report was taken. Without that, all entries would send their requests to
+ * the target that was idle a moment ago.
  */
 import type { EngineRole } from '../model/configuration.js';
 
-/** Load of one target as its sidecar reports it. */
+/** The load of one target, as reported by its sidecar. */
 export interface LoadReport {
   readonly target: string;
-  /** When the load was read, on the receiver's monotonic clock: time of arrival less stated age. */
+  /** When the load was measured: arrival time on the receiver's monotonic clock minus its age. */
   readonly atMs: number;
-  /** Rises with each report of one epoch. */
+  /** Increases with each report of one epoch. */
   readonly sequence: number;
   /** Changes when the engine restarts. */
   readonly epoch: string;
   readonly role: EngineRole;
-  /** False while the target drains, changes its role or is withdrawn: no new work. */
+  /** False while the target drains, changes its role or is withdrawn; it gets no new work. */
   readonly accepting: boolean;
   readonly runningRequests: number;
   readonly waitingRequests: number;
@@ -23,15 +23,15 @@
   readonly runningContextTokens: number;
   readonly kvUsedTokens: number;
   readonly kvCapacityTokens: number;
-  /** Length of the latest step, in milliseconds. */
+  /** Duration of the latest step, in milliseconds. */
   readonly stepMs: number;
 }
 
-/** A target as the configuration and the membership show it. */
+/** A target as described by the configuration and the membership. */
 export interface TargetInfo {
   readonly name: string;
   readonly failureDomain: string;
   readonly role: EngineRole;
-  /** False: no new work (leaving, withdrawn, draining, dead). */
+  /** False if the target gets no new work: it is leaving, withdrawn, draining or dead. */
   readonly accepting: boolean;
 }
--- a/packages/coordination/src/core/routing/prefix-index.ts
+++ b/packages/coordination/src/core/routing/prefix-index.ts
@@ -1,38 +1,43 @@
 /**
- * Which targets probably hold the KV cache of a prompt's first blocks. Learnt from own routing and
- * from the engines' cache events, which come late and with gaps. A gap means not knowing: what was
- * learnt before it counts half from then on, it is not forgotten. A restart of the engine (another
- * epoch) means a cold cache: what was learnt before it is void at once, without a sweep.
+ * Tracks which targets probably have the leading blocks of a prompt in their KV cache. The index is
+ * built from the entry's own dispatches and from the engines' cache events, which arrive late and
+ * with gaps. After a gap, earlier records are uncertain: they count half instead of being removed.
+ * After a restart of the engine (a new epoch) its cache is cold: all earlier records become invalid
+ * at once, without iterating over them.
  */
 import { LRUCache } from 'lru-cache';
 import { CacheChange } from './cache-news.js';
 import type { CacheNews } from './cache-news.js';
 import type { TargetView } from './target-view.js';
 
-/** A holder of a block; `generation` is that of the target when it was learnt. */
+/** A target that holds a block; `generation` is the target's cache generation at that time. */
 interface Holder {
   readonly target: number;
   readonly generation: number;
 }
 
-/** The index. Bounded by the number of blocks and of holders per block. */
+/** The prefix index. The number of blocks and of holders per block is bounded. */
 export interface PrefixIndex {
   readonly blocks: LRUCache<string, Holder[]>;
 }
 
-/** Most holders remembered of one block; a router never weighs more than a few anyway. */
-const MAX_HOLDERS = 8;
+/** Maximum holders stored per block; the router compares only a few of them. */
+const MAX_HOLDERS_PER_BLOCK = 8;
 
-/** What a doubtful block counts: as likely gone as there. */
-const DOUBTFUL_WEIGHT = 0.5;
+/** Weight of an uncertain block, which is as likely evicted as still cached. */
+const UNCERTAIN_BLOCK_WEIGHT = 0.5;
 
-/** Makes an index of at most that many blocks, about 150 bytes each. */
+/** Creates an index of at most `maxBlocks` blocks of about 150 bytes each. */
 export function createPrefixIndex(maxBlocks: number): PrefixIndex {
   return { blocks: new LRUCache<string, Holder[]>({ max: maxBlocks }) };
 }
 
-/** Notes that the target was given the prompt, so that its cache soon holds the blocks. */
-export function noteHolder(index: PrefixIndex, view: TargetView, blocks: readonly string[]): void {
+/** Records that the target holds the blocks, or will soon because it was sent the prompt. */
+export function recordHolder(
+  index: PrefixIndex,
+  view: TargetView,
+  blocks: readonly string[],
+): void {
   for (const block of blocks) {
     const holders = index.blocks.get(block);
     const holder = { target: view.index, generation: view.cacheGeneration };
@@ -45,81 +50,81 @@
 }
 
 function replaceHolder(holders: Holder[], holder: Holder): void {
-  const at = holders.findIndex((known) => known.target === holder.target);
-  if (at >= 0) holders.splice(at, 1);
-  else if (holders.length >= MAX_HOLDERS) holders.shift();
+  const position = holders.findIndex((existing) => existing.target === holder.target);
+  if (position >= 0) holders.splice(position, 1);
+  else if (holders.length >= MAX_HOLDERS_PER_BLOCK) holders.shift();
   holders.push(holder);
 }
 
-/** Takes a cache event in. */
-export function noteCacheNews(index: PrefixIndex, view: TargetView, news: CacheNews): void {
-  if (news.epoch !== view.cacheEpoch) {
-    startEpoch(view, news.epoch);
-  } else if (news.sequence <= view.cacheSequence) {
+/** Applies a cache event of a target. Duplicate and outdated events are ignored. */
+export function applyCacheEvent(index: PrefixIndex, view: TargetView, event: CacheNews): void {
+  if (event.epoch !== view.cacheEpoch) {
+    startEpoch(view, event.epoch);
+  } else if (event.sequence <= view.cacheSequence) {
     return;
-  } else if (news.sequence !== view.cacheSequence + 1) {
-    // Lost events show as a hole in the sequence: some of what we know may have been evicted.
+  } else if (event.sequence !== view.cacheSequence + 1) {
+    // A gap in the sequence means lost events: some recorded blocks may have been evicted.
     view.cacheGeneration += 1;
-    view.doubtfulBefore = view.cacheGeneration;
+    view.uncertainBefore = view.cacheGeneration;
   }
-  view.cacheSequence = news.sequence;
-  applyChange(index, view, news);
+  view.cacheSequence = event.sequence;
+  applyChange(index, view, event);
 }
 
-function applyChange(index: PrefixIndex, view: TargetView, news: CacheNews): void {
-  switch (news.change) {
+function applyChange(index: PrefixIndex, view: TargetView, event: CacheNews): void {
+  switch (event.change) {
     case CacheChange.Stored:
-      noteHolder(index, view, news.blocks);
+      recordHolder(index, view, event.blocks);
       return;
     case CacheChange.Evicted:
-      for (const block of news.blocks) dropHolder(index, view, block);
+      for (const block of event.blocks) removeHolder(index, view, block);
       return;
     case CacheChange.Cleared:
-      voidKnowledge(view);
+      invalidateCachedBlocks(view);
   }
 }
 
-function dropHolder(index: PrefixIndex, view: TargetView, block: string): void {
+function removeHolder(index: PrefixIndex, view: TargetView, block: string): void {
   const holders = index.blocks.peek(block);
   if (holders === undefined) return;
-  const at = holders.findIndex((known) => known.target === view.index);
-  if (at >= 0) holders.splice(at, 1);
+  const position = holders.findIndex((holder) => holder.target === view.index);
+  if (position >= 0) holders.splice(position, 1);
   if (holders.length === 0) index.blocks.delete(block);
 }
 
 function startEpoch(view: TargetView, epoch: string): void {
-  const firstNews = view.cacheEpoch === '';
+  const isFirstEvent = view.cacheEpoch === '';
   view.cacheEpoch = epoch;
-  if (!firstNews) voidKnowledge(view);
+  if (!isFirstEvent) invalidateCachedBlocks(view);
 }
 
-/** Forgets all that is known of a target's cache, in O(1). */
-export function voidKnowledge(view: TargetView): void {
+/** Invalidates all records of a target's cache, in O(1). */
+export function invalidateCachedBlocks(view: TargetView): void {
   view.cacheGeneration += 1;
-  view.voidBefore = view.cacheGeneration;
+  view.invalidBefore = view.cacheGeneration;
 }
 
-/** Expected number of leading blocks that the target holds; doubtful ones count half. */
-export function heldBlocks(
+/** Returns the expected number of leading blocks in the cache; uncertain ones count half. */
+export function expectedCachedBlocks(
   index: PrefixIndex,
   view: TargetView,
   blocks: readonly string[],
 ): number {
-  let held = 0;
+  let cachedBlocks = 0;
   for (const block of blocks) {
-    const holder = index.blocks.peek(block)?.find((known) => known.target === view.index);
-    if (holder === undefined || holder.generation < view.voidBefore) return held;
-    held += holder.generation < view.doubtfulBefore ? DOUBTFUL_WEIGHT : 1;
+    const holder = index.blocks.peek(block)?.find((candidate) => candidate.target === view.index);
+    if (holder === undefined || holder.generation < view.invalidBefore) return cachedBlocks;
+    cachedBlocks += holder.generation < view.uncertainBefore ? UNCERTAIN_BLOCK_WEIGHT : 1;
   }
-  return held;
+  return cachedBlocks;
 }
 
-/** Indexes of targets that may hold the longest known beginning of the prompt. */
+/** Returns the indexes of the targets that may hold the longest known prefix of the prompt. */
 export function likelyHolders(index: PrefixIndex, blocks: readonly string[]): readonly number[] {
-  for (let at = blocks.length - 1; at >= 0; at -= 1) {
-    const block = blocks[at];
+  for (let position = blocks.length - 1; position >= 0; position -= 1) {
+    const block = blocks[position];
     const holders = block === undefined ? undefined : index.blocks.peek(block);
-    if (holders !== undefined && holders.length > 0) return holders.map((known) => known.target);
+    if (holders !== undefined && holders.length > 0) return holders.map((holder) => holder.target);
   }
   return [];
 }
--- a/packages/coordination/src/core/routing/route.ts
+++ b/packages/coordination/src/core/routing/route.ts
@@ -1,92 +1,93 @@
 /**
- * The routing decision. Each candidate is given an expected cost in milliseconds: time to the first
- * token, work added to the engine, harm done to the answers that run there, memory that the answer
- * will need. The cheapest way wins, be it one engine for both phases or a reader that hands its KV
- * cache to a writer; so the cache is moved only where that is cheaper than reading the prompt
- * again, and a cached prefix attracts only as much as it saves.
+ * Decides which targets serve a request. Each candidate gets an expected cost in milliseconds: time
+ * to first token, added engine work, delay of the answers already running there, and KV cache
+ * memory for the new answer. The cheapest option is chosen: one target for both phases, or prefill
+ * on one target and decode on another after a KV cache transfer. The transfer is therefore used
+ * only if it costs less than prefill on the decode target, and a cached prefix weighs only as much
+ * as the prefill time that it saves.
  */
 import type { Random } from '../random/random.js';
 import { pickCandidates } from './candidates.js';
 import { decodeStepMs, transferMs } from './engine-profile.js';
 import { expectedOutputTokens } from './output-length.js';
-import { heldBlocks, noteHolder } from './prefix-index.js';
+import { expectedCachedBlocks, recordHolder } from './prefix-index.js';
 import type { Router } from './router.js';
-import { estimateLoad, noteOwnDispatch, prefillMsPerToken } from './target-view.js';
+import { estimateLoad, recordOwnDispatch, prefillMsPerToken } from './target-view.js';
 import type { LoadEstimate, TargetView } from './target-view.js';
 
-/** A request as routing sees it. */
+/** The properties of a request that routing uses. */
 export interface RouteRequest {
   readonly workspace: string;
-  /** Prompt and, at a continuation, the tokens already written. */
+  /** Prompt tokens plus, for a continuation, the tokens already generated. */
   readonly promptTokens: number;
-  /** Fingerprints of the prompt's whole blocks, each covering all text before it. */
+  /** Fingerprints of the prompt's complete blocks; each covers all text before it. */
   readonly prefixBlocks: readonly string[];
   readonly maxOutputTokens: number;
-  /** Targets that must not be tried again. */
+  /** Names of targets that must not be used. */
   readonly excluded: ReadonlySet<string>;
 }
 
-/** How a request is served. */
+/** How a request is distributed over targets. */
 export enum RouteKind {
-  /** One engine reads the prompt and writes the answer. */
+  /** One target runs both prefill and decode. */
   Whole = 'whole',
-  /** One engine reads the prompt and hands its KV cache to another, which writes. */
+  /** One target runs prefill and transfers its KV cache to another, which decodes. */
   Split = 'split',
-  /** No target takes work now. */
+  /** No target accepts the request now. */
   None = 'none',
 }
 
-/** Where a request goes, with the prediction that the choice rests on. */
+/** The chosen targets of a request, with the predictions behind the choice. */
 export interface RoutePlan {
   readonly kind: RouteKind.Whole | RouteKind.Split;
-  /** Reads the prompt. */
+  /** Name of the target that runs prefill. */
   readonly reader: string;
-  /** Writes the answer; the same as `reader` when whole. */
+  /** Name of the target that decodes; equal to `reader` for {@link RouteKind.Whole}. */
   readonly writer: string;
   readonly predictedFirstTokenMs: number;
-  /** Time that the reader works on the prompt, without the wait. */
+  /** Prefill time of the prompt, without queueing. */
   readonly predictedReadMs: number;
   readonly predictedStepMs: number;
-  /** The writer's memory will probably not hold the answer. */
+  /** Whether the decode target will probably lack KV cache memory or a batch slot. */
   readonly memoryShort: boolean;
-  /** Prompt tokens that the reader has to compute. */
+  /** Prompt tokens that need prefill because they are not cached. */
   readonly prefillTokens: number;
   readonly expectedOutputTokens: number;
 }
 
-/** The decision. */
+/** The routing decision. */
 export type RouteDecision = RoutePlan | { readonly kind: RouteKind.None };
 
-/** Price of one millisecond of engine time against one of waiting: both delay somebody once. */
-const WORK_PRICE = 1;
+/** Cost of a millisecond of engine time relative to one of waiting; each delays one request. */
+const ENGINE_TIME_PRICE = 1;
 
-/** Part of a goal from which a prediction counts as a probable miss; predictions err by a tenth. */
+/** Fraction of a latency goal above which a miss is likely; predictions are off by about 10 %. */
 const GOAL_MARGIN = 0.9;
 
-/** Cost of each millisecond beyond the margin: a miss makes the whole answer worthless. */
-const MISS_PRICE = 4;
+/** Cost per millisecond beyond the margin; an answer that misses its goal counts as worthless. */
+const GOAL_MISS_PRICE = 4;
 
-/** Cost of a step beyond the goal, per millisecond: it makes the whole batch late. */
+/** Cost per millisecond of a step beyond the goal; a slow step delays the whole batch. */
 const SLOW_STEP_PRICE = 20;
 
-/** Weight of the step length when all is well; evens the batches out. */
+/** Weight of the step time when all goals are met; balances batch sizes. */
 const STEP_PRICE = 1;
 
-/** Part of the KV memory that is planned for; the rest absorbs answers longer than expected. */
-const KV_PLANNED_SHARE = 0.92;
+/** Fraction of the KV cache that is planned for; the rest absorbs longer answers than expected. */
+const PLANNED_KV_SHARE = 0.92;
 
-/** Cost of a target whose memory will not hold the answer: it would preempt a running one. */
-const KV_SHORT_COST = 2000;
+/** Cost of a target that lacks memory for the answer and would preempt a running one. */
+const KV_SHORTAGE_COST_MS = 2000;
 
-interface ReaderCost {
+interface PrefillCost {
   readonly view: TargetView;
   readonly costMs: number;
   readonly firstTokenMs: number;
-  readonly readMs: number;
+  readonly prefillMs: number;
   readonly prefillTokens: number;
 }
 
-interface WriterCost {
+interface DecodeCost {
   readonly view: TargetView;
   readonly memoryShort: boolean;
   readonly load: LoadEstimate;
@@ -94,7 +95,10 @@
   readonly stepMs: number;
 }
 
-/** Decides where a request goes. Does not change the router; call `noteDispatch` when it went. */
+/**
+ * Chooses the targets of a request. Does not change the router; call {@link noteDispatch} after the
+ * request has been sent.
+ */
 export function route(
   router: Router,
   request: RouteRequest,
@@ -110,40 +114,40 @@
   );
   const loadOf = (view: TargetView): LoadEstimate =>
     estimateLoad(view, router.options.profile, nowMs, router.options.peerFactor);
-  const writers = candidates.writers.map((view) =>
-    writerCost(router, view, loadOf(view), request, outputTokens),
+  const decodeCosts = candidates.decodeTargets.map((view) =>
+    decodeCost(router, view, loadOf(view), request, outputTokens),
   );
-  const writer = cheapest(writers);
-  if (writer === undefined) return { kind: RouteKind.None };
-  const reader = cheapest(
-    candidates.readers.map((view) => readerCost(router, view, loadOf(view), request)),
+  const decode = cheapest(decodeCosts);
+  if (decode === undefined) return { kind: RouteKind.None };
+  const prefill = cheapest(
+    candidates.prefillTargets.map((view) => prefillCost(router, view, loadOf(view), request)),
   );
-  const whole = cheapestWhole(router, writers, request);
+  const whole = cheapestSingleTarget(router, decodeCosts, request);
   const splitMs =
-    reader === undefined
+    prefill === undefined
       ? Number.POSITIVE_INFINITY
-      : reader.costMs + writer.costMs + transferMs(router.options.profile, request.promptTokens);
-  if (reader === undefined || whole.costMs <= splitMs) {
-    return planOf(RouteKind.Whole, whole, whole.writer, outputTokens);
+      : prefill.costMs + decode.costMs + transferMs(router.options.profile, request.promptTokens);
+  if (prefill === undefined || whole.costMs <= splitMs) {
+    return planOf(RouteKind.Whole, whole, whole.decode, outputTokens);
   }
-  return planOf(RouteKind.Split, reader, writer, outputTokens);
+  return planOf(RouteKind.Split, prefill, decode, outputTokens);
 }
 
 function planOf(
   kind: RoutePlan['kind'],
-  reader: ReaderCost,
-  writer: WriterCost,
+  prefill: PrefillCost,
+  decode: DecodeCost,
   outputTokens: number,
 ): RoutePlan {
   return {
     kind,
-    reader: reader.view.name,
-    writer: writer.view.name,
-    predictedFirstTokenMs: reader.firstTokenMs,
-    predictedReadMs: reader.readMs,
-    predictedStepMs: writer.stepMs,
-    memoryShort: writer.memoryShort,
-    prefillTokens: reader.prefillTokens,
+    reader: prefill.view.name,
+    writer: decode.view.name,
+    predictedFirstTokenMs: prefill.firstTokenMs,
+    predictedReadMs: prefill.prefillMs,
+    predictedStepMs: decode.stepMs,
+    memoryShort: decode.memoryShort,
+    prefillTokens: prefill.prefillTokens,
     expectedOutputTokens: outputTokens,
   };
 }
@@ -156,37 +160,39 @@
   return best;
 }
 
-function missCost(valueMs: number, goalMs: number): number {
-  return Math.max(0, valueMs - goalMs * GOAL_MARGIN) * MISS_PRICE;
+function goalMissCost(valueMs: number, goalMs: number): number {
+  return Math.max(0, valueMs - goalMs * GOAL_MARGIN) * GOAL_MISS_PRICE;
 }
 
-function tokensToRead(router: Router, view: TargetView, request: RouteRequest): number {
-  const held = heldBlocks(router.prefixes, view, request.prefixBlocks) * router.options.blockTokens;
-  return Math.max(1, request.promptTokens - held);
+function uncachedPromptTokens(router: Router, view: TargetView, request: RouteRequest): number {
+  const cachedTokens =
+    expectedCachedBlocks(router.prefixes, view, request.prefixBlocks) * router.options.blockTokens;
+  return Math.max(1, request.promptTokens - cachedTokens);
 }
 
-function readerCost(
+function prefillCost(
   router: Router,
   view: TargetView,
   load: LoadEstimate,
   request: RouteRequest,
-): ReaderCost {
+): PrefillCost {
   const { profile, firstTokenGoalMs } = router.options;
-  const prefillTokens = tokensToRead(router, view, request);
-  const readMs = prefillTokens * prefillMsPerToken(profile, view.role, load.stepMs);
-  const firstTokenMs = load.queueMs + readMs + load.stepMs + 2 * view.latencyMs;
+  const prefillTokens = uncachedPromptTokens(router, view, request);
+  const prefillMs = prefillTokens * prefillMsPerToken(profile, view.role, load.stepMs);
+  const firstTokenMs = load.queueMs + prefillMs + load.stepMs + 2 * view.latencyMs;
   const workMs = prefillTokens * profile.roles[view.role].prefillMsPerToken;
-  const costMs = firstTokenMs + workMs * WORK_PRICE + missCost(firstTokenMs, firstTokenGoalMs);
-  return { view, costMs, firstTokenMs, readMs, prefillTokens };
+  const costMs =
+    firstTokenMs + workMs * ENGINE_TIME_PRICE + goalMissCost(firstTokenMs, firstTokenGoalMs);
+  return { view, costMs, firstTokenMs, prefillMs, prefillTokens };
 }
 
-function writerCost(
+function decodeCost(
   router: Router,
   view: TargetView,
   load: LoadEstimate,
   request: RouteRequest,
   outputTokens: number,
-): WriterCost {
+): DecodeCost {
   const { profile, interTokenGoalMs } = router.options;
   const stepMs =
     load.excessMs +
@@ -199,83 +205,84 @@
   const slowMs = Math.max(0, stepMs - interTokenGoalMs * GOAL_MARGIN);
   const growthTokens = (load.runningRequests * router.lengths.service.value) / 2;
   const kvTokens = load.kvUsedTokens + growthTokens + request.promptTokens + outputTokens;
-  const short = kvTokens > load.kvCapacityTokens * KV_PLANNED_SHARE;
-  const full = load.runningRequests >= profile.roles[view.role].maxBatch;
-  const memoryShort = short || full;
-  const costMs = stepMs * STEP_PRICE + slowMs * SLOW_STEP_PRICE + (memoryShort ? KV_SHORT_COST : 0);
+  const isKvShort = kvTokens > load.kvCapacityTokens * PLANNED_KV_SHARE;
+  const isBatchFull = load.runningRequests >= profile.roles[view.role].maxBatch;
+  const memoryShort = isKvShort || isBatchFull;
+  const costMs =
+    stepMs * STEP_PRICE + slowMs * SLOW_STEP_PRICE + (memoryShort ? KV_SHORTAGE_COST_MS : 0);
   return { view, load, memoryShort, costMs, stepMs };
 }
 
-function cheapestWhole(
+function cheapestSingleTarget(
   router: Router,
-  writers: readonly WriterCost[],
+  decodeCosts: readonly DecodeCost[],
   request: RouteRequest,
-): ReaderCost & { readonly writer: WriterCost } {
-  const costs = writers.map((writer) => {
-    const reading = readerCost(router, writer.view, writer.load, request);
-    const harmMs = interferenceMs(router, writer, reading.prefillTokens);
-    return { ...reading, costMs: reading.costMs + writer.costMs + harmMs, writer };
+): PrefillCost & { readonly decode: DecodeCost } {
+  const costs = decodeCosts.map((decode) => {
+    const prefill = prefillCost(router, decode.view, decode.load, request);
+    const delayMs = interferenceCost(router, decode, prefill.prefillTokens);
+    return { ...prefill, costMs: prefill.costMs + decode.costMs + delayMs, decode };
   });
   const best = cheapest(costs);
-  // The caller has at least one writer, so that there is always a cheapest.
+  // The caller passes at least one decode cost, so there is always a cheapest one.
   return best as NonNullable<typeof best>;
 }
 
-/** Harm of reading a prompt amid running answers: the steps that carry its chunks are longer. */
-function interferenceMs(router: Router, writer: WriterCost, prefillTokens: number): number {
+/** Cost of prefill beside running answers: the steps that carry its chunks take longer. */
+function interferenceCost(router: Router, decode: DecodeCost, prefillTokens: number): number {
   const { profile, interTokenGoalMs } = router.options;
-  const figures = profile.roles[writer.view.role];
-  const chunkMs = Math.min(prefillTokens, figures.chunkTokens) * figures.prefillMsPerToken;
-  const steps = Math.ceil(prefillTokens / figures.chunkTokens);
-  const slowMs = Math.max(0, writer.stepMs + chunkMs - interTokenGoalMs * GOAL_MARGIN);
+  const roleProfile = profile.roles[decode.view.role];
+  const chunkMs = Math.min(prefillTokens, roleProfile.chunkTokens) * roleProfile.prefillMsPerToken;
+  const steps = Math.ceil(prefillTokens / roleProfile.chunkTokens);
+  const slowMs = Math.max(0, decode.stepMs + chunkMs - interTokenGoalMs * GOAL_MARGIN);
   return steps * slowMs * SLOW_STEP_PRICE;
 }
 
-/** Weight of the newest dispatch in the share that had to be read: some hundred requests. */
-const UNREAD_WEIGHT = 0.01;
+/** Weight of the newest dispatch in the uncached share; averages over about a hundred requests. */
+const UNCACHED_SHARE_WEIGHT = 0.01;
 
-/** Takes in that a request was sent as planned, before reports can show it. */
+/** Records a dispatched request, so that it counts before load reports include it. */
 export function noteDispatch(
   router: Router,
   plan: RoutePlan,
   request: RouteRequest,
   nowMs: number,
 ): void {
-  const unread = plan.prefillTokens / request.promptTokens;
+  const uncached = plan.prefillTokens / request.promptTokens;
   router.dispatches += 1;
-  const weight = Math.max(UNREAD_WEIGHT, 1 / router.dispatches);
-  router.unreadShare += (unread - router.unreadShare) * weight;
-  const reader = router.views.get(plan.reader);
-  const writer = router.views.get(plan.writer);
+  const weight = Math.max(UNCACHED_SHARE_WEIGHT, 1 / router.dispatches);
+  router.unreadShare += (uncached - router.unreadShare) * weight;
+  const prefillTarget = router.views.get(plan.reader);
+  const decodeTarget = router.views.get(plan.writer);
   const contextTokens = request.promptTokens + plan.expectedOutputTokens / 2;
-  if (reader !== undefined) {
-    noteHolder(router.prefixes, reader, request.prefixBlocks);
-    const written = plan.kind === RouteKind.Whole ? contextTokens : 0;
-    noteOwnDispatch(reader, {
+  if (prefillTarget !== undefined) {
+    recordHolder(router.prefixes, prefillTarget, request.prefixBlocks);
+    const decodeTokens = plan.kind === RouteKind.Whole ? contextTokens : 0;
+    recordOwnDispatch(prefillTarget, {
       atMs: nowMs,
       prefillTokens: plan.prefillTokens,
-      contextTokens: written,
+      contextTokens: decodeTokens,
     });
   }
-  if (writer !== undefined && plan.kind === RouteKind.Split) {
-    noteHolder(router.prefixes, writer, request.prefixBlocks);
-    noteOwnDispatch(writer, { atMs: nowMs, prefillTokens: 0, contextTokens });
+  if (decodeTarget !== undefined && plan.kind === RouteKind.Split) {
+    recordHolder(router.prefixes, decodeTarget, request.prefixBlocks);
+    recordOwnDispatch(decodeTarget, { atMs: nowMs, prefillTokens: 0, contextTokens });
   }
 }
 
-/** Takes in that a running answer moves to another writer with its KV cache. */
+/** Records that a running answer moves, with its KV cache, to another decode target. */
 export function noteMove(
   router: Router,
-  writer: string,
+  target: string,
   request: RouteRequest,
   expectedOutputTokens: number,
   nowMs: number,
 ): void {
-  const view = router.views.get(writer);
+  const view = router.views.get(target);
   if (view === undefined) return;
   const contextTokens = request.promptTokens + expectedOutputTokens / 2;
-  noteOwnDispatch(view, { atMs: nowMs, prefillTokens: 0, contextTokens });
+  recordOwnDispatch(view, { atMs: nowMs, prefillTokens: 0, contextTokens });
 }
 
-/** Nothing excluded. */
+/** An empty set of excluded targets. */
 export const excludedNone: ReadonlySet<string> = new Set();
--- a/packages/coordination/src/core/routing/router.ts
+++ b/packages/coordination/src/core/routing/router.ts
@@ -1,37 +1,37 @@
 /**
- * State of one entry's router for one service: the targets it knows, what it believes of them, the
- * prefix index and the expected lengths of answers. Decisions on it are in `route.ts`.
+ * State of an entry's router for one service: the known targets with their estimated load, the
+ * prefix index and the expected output lengths. The routing decisions are in `route.ts`.
  */
 import type { EngineRole } from '../model/configuration.js';
 import type { Hash32 } from '../hashing/hashing.js';
 import type { CacheNews } from './cache-news.js';
 import type { EngineProfile } from './engine-profile.js';
 import type { LoadReport, TargetInfo } from './load-report.js';
-import { createOutputLengths, noteOutputLength } from './output-length.js';
+import { createOutputLengths, recordOutputLength } from './output-length.js';
 import type { OutputLengths } from './output-length.js';
-import { createPrefixIndex, noteCacheNews, voidKnowledge } from './prefix-index.js';
+import { createPrefixIndex, applyCacheEvent, invalidateCachedBlocks } from './prefix-index.js';
 import type { PrefixIndex } from './prefix-index.js';
 import { chooseSubset, rankHighest } from './subset.js';
-import { noteOwnEnd, noteReport } from './target-view.js';
+import { recordOwnCompletion, applyReport } from './target-view.js';
 import type { TargetView } from './target-view.js';
 
-/** What a router is made with. */
+/** Options of a router. */
 export interface RouterOptions {
-  /** Name of the entry; seeds its subset of targets. */
+  /** Name of the entry; determines its subset of targets. */
   readonly entry: string;
   readonly profile: EngineProfile;
   readonly hash32: Hash32;
-  /** Targets an entry weighs and hears reports of, beside the homes of prefixes. */
+  /** Size of the subset that the entry considers and receives reports of, besides home targets. */
   readonly subsetTargets: number;
-  /** Candidates that are weighed per phase; all, where the subset has no more. */
+  /** Number of candidates compared per phase; all targets of the subset if it has no more. */
   readonly choices: number;
-  /** Most blocks in the prefix index. */
+  /** Maximum number of blocks in the prefix index. */
   readonly maxPrefixBlocks: number;
-  /** Prompt tokens in one block of a prefix. */
+  /** Prompt tokens per prefix block. */
   readonly blockTokens: number;
   readonly firstTokenGoalMs: number;
   readonly interTokenGoalMs: number;
-  /** Own dispatches since a report count this often, for those of the other entries. */
+  /** Factor for own dispatches since a report, to account for those of the other entries. */
   readonly peerFactor: number;
   /** One-way latency from this entry to a failure domain, in milliseconds. */
   readonly latencyMs: (failureDomain: string) => number;
@@ -48,35 +48,36 @@
   peerFactor: 1,
 } as const;
 
-/** The router's state. Owned by the caller, changed by the functions of this folder only. */
+/** The router's state. Owned by the caller; only the functions of this folder change it. */
 export interface Router {
   readonly options: RouterOptions;
   readonly views: Map<string, TargetView>;
-  /** By `TargetView.index`; holes where a target left. */
-  readonly byIndex: (TargetView | undefined)[];
-  /** Targets of the subset that take new work and read prompts only. */
+  /** Views by `TargetView.index`; undefined where a target has left. */
+  readonly viewsByIndex: (TargetView | undefined)[];
+  /** Targets of the subset that accept new work and run prefill only. */
   readers: readonly TargetView[];
-  /** Targets of the subset that take new work and write answers. */
+  /** Targets of the subset that accept new work and can decode. */
   writers: readonly TargetView[];
+  /** All targets that accept new work. */
   live: readonly TargetView[];
   subset: readonly TargetView[];
   subsetNames: ReadonlySet<string>;
-  /** Homes of prefixes, by slot, worked out at first use; emptied when targets change. */
+  /** Home targets by prefix slot, computed on first use and cleared when the targets change. */
   readonly homes: Map<number, readonly TargetView[]>;
   readonly prefixes: PrefixIndex;
   readonly lengths: OutputLengths;
   nextIndex: number;
-  /** Moving mean of the part of prompt tokens that had to be read; the rest was cached. */
+  /** Moving mean of the share of prompt tokens that needed prefill; the rest was cached. */
   unreadShare: number;
   dispatches: number;
 }
 
-/** Makes a router that knows no targets yet. */
+/** Creates a router without targets. */
 export function createRouter(options: RouterOptions): Router {
   return {
     options,
     views: new Map(),
-    byIndex: [],
+    viewsByIndex: [],
     readers: [],
     writers: [],
     live: [],
@@ -91,11 +92,11 @@
   };
 }
 
-/** Takes in which targets the service has now. Cost grows with the fleet; call it on changes. */
+/** Sets the targets of the service. The cost grows with the fleet; call it only on changes. */
 export function noteTargets(router: Router, targets: readonly TargetInfo[]): void {
   const names = new Set(targets.map((target) => target.name));
   for (const view of router.views.values()) {
-    if (!names.has(view.name)) forget(router, view);
+    if (!names.has(view.name)) removeView(router, view);
   }
   for (const target of targets) {
     const view = router.views.get(target.name) ?? addView(router, target);
@@ -111,7 +112,7 @@
   );
   router.subsetNames = new Set(router.subset.map((view) => view.name));
   router.homes.clear();
-  sortByPhase(router);
+  groupByPhase(router);
 }
 
 function addView(router: Router, target: TargetInfo): TargetView {
@@ -126,101 +127,101 @@
     report: null,
     excessMs: 0,
     own: [],
-    usedAtMs: Number.NEGATIVE_INFINITY,
-    ownEnds: [],
+    lastDispatchAtMs: Number.NEGATIVE_INFINITY,
+    ownCompletions: [],
     cacheGeneration: 0,
-    doubtfulBefore: 0,
-    voidBefore: 0,
+    uncertainBefore: 0,
+    invalidBefore: 0,
     cacheEpoch: '',
     cacheSequence: -1,
   };
   router.nextIndex += 1;
   router.views.set(target.name, view);
-  router.byIndex[view.index] = view;
+  router.viewsByIndex[view.index] = view;
   return view;
 }
 
-function forget(router: Router, view: TargetView): void {
+function removeView(router: Router, view: TargetView): void {
   router.views.delete(view.name);
-  // Indexes are not used again, so that the prefix index cannot mistake a new target for this one.
-  router.byIndex[view.index] = undefined;
+  // Indexes are never reused, so that the prefix index cannot confuse a new target with this one.
+  router.viewsByIndex[view.index] = undefined;
 }
 
-function sortByPhase(router: Router): void {
+function groupByPhase(router: Router): void {
   const { profile } = router.options;
   const accepting = router.subset.filter((view) => view.accepting);
   router.readers = accepting.filter((view) => profile.roles[view.role].maxBatch === 0);
   router.writers = accepting.filter((view) => profile.roles[view.role].maxBatch > 0);
 }
 
-/** Time for which an entry hears reports of a target outside its subset that it used. */
-const HEARD_AFTER_USE_MS = 10_000;
+/** How long an entry receives reports of a target outside its subset after using it. */
+const REPORTS_AFTER_USE_MS = 10_000;
 
-/** Whether the entry wants load reports of a target: in its subset, or used lately. */
+/** Returns whether the entry needs load reports of a target: in its subset or recently used. */
 export function wantsReports(router: Router, target: string, nowMs: number): boolean {
   if (router.subsetNames.has(target)) return true;
   const view = router.views.get(target);
-  return view !== undefined && nowMs - view.usedAtMs <= HEARD_AFTER_USE_MS;
+  return view !== undefined && nowMs - view.lastDispatchAtMs <= REPORTS_AFTER_USE_MS;
 }
 
-/** Takes a load report in. Reports of unknown targets are dropped. */
+/** Applies a load report. Reports of unknown targets are ignored. */
 export function noteLoad(router: Router, report: LoadReport): void {
   const view = router.views.get(report.target);
   if (view === undefined) return;
-  const epoch = view.report?.epoch;
-  const role = view.role;
-  const accepting = view.accepting;
-  if (!noteReport(view, report, router.options.profile)) return;
+  const previousEpoch = view.report?.epoch;
+  const previousRole = view.role;
+  const wasAccepting = view.accepting;
+  if (!applyReport(view, report, router.options.profile)) return;
   view.accepting = report.accepting;
-  if (epoch !== undefined && epoch !== report.epoch) voidKnowledge(view);
-  if (role !== view.role || accepting !== view.accepting) sortByPhase(router);
+  if (previousEpoch !== undefined && previousEpoch !== report.epoch) invalidateCachedBlocks(view);
+  if (previousRole !== view.role || wasAccepting !== view.accepting) groupByPhase(router);
 }
 
-/** Sets a target's role as an order says, before its report does. */
-export function noteRole(router: Router, target: string, role: EngineRole): void {
+/** Sets a target's role when a role change is ordered, before its reports show it. */
+export function setTargetRole(router: Router, target: string, role: EngineRole): void {
   const view = router.views.get(target);
   if (view === undefined || view.role === role) return;
   view.role = role;
-  sortByPhase(router);
+  groupByPhase(router);
 }
 
-/** Takes a cache event in. Events of unknown targets are dropped. */
-export function noteCacheEvent(router: Router, target: string, news: CacheNews): void {
+/** Applies a cache event. Events of unknown targets are ignored. */
+export function noteCacheEvent(router: Router, target: string, event: CacheNews): void {
   const view = router.views.get(target);
-  if (view !== undefined) noteCacheNews(router.prefixes, view, news);
+  if (view !== undefined) applyCacheEvent(router.prefixes, view, event);
 }
 
-/** An own answer came to its end, whole or not. */
+/** The end of an answer that this entry dispatched, complete or not. */
 export interface AnswerEnd {
-  /** The target that wrote it. */
+  /** The target that decoded the answer. */
   readonly target: string;
   readonly workspace: string;
   readonly promptTokens: number;
   readonly outputTokens: number;
-  /** False: it was cut, so its length teaches nothing. */
+  /** False if the answer was cut off, in which case its length is not recorded. */
   readonly whole: boolean;
 }
 
-/** Takes the end of an own answer in. */
+/** Records the end of an answer that this entry dispatched. */
 export function noteEnd(router: Router, end: AnswerEnd, nowMs: number): void {
   if (end.whole) {
-    noteOutputLength(router.lengths, end.workspace, end.promptTokens, end.outputTokens);
+    recordOutputLength(router.lengths, end.workspace, end.promptTokens, end.outputTokens);
   }
   const view = router.views.get(end.target);
-  if (view !== undefined) noteOwnEnd(view, nowMs, end.promptTokens + end.outputTokens);
+  if (view !== undefined) recordOwnCompletion(view, nowMs, end.promptTokens + end.outputTokens);
 }
 
-/** Slots of the prefix space; a prefix hashes to a slot, each slot has its homes. */
+/** Number of prefix slots; a prefix is hashed to a slot, and each slot has its home targets. */
 const PREFIX_SLOTS = 4096;
 
-/** Homes of a prefix: two, so that one may be full or leave. */
+/** Home targets per prefix: two, because one of them may be full or leave. */
 const HOMES_PER_PREFIX = 2;
 
-/** The homes of a prompt that begins with this block, the same at all entries. */
-export function homesOf(router: Router, firstBlock: string): readonly TargetView[] {
+/** Returns the home targets of prompts that begin with this block, the same at all entries. */
+export function homeTargetsOf(router: Router, firstBlock: string): readonly TargetView[] {
   const slot = router.options.hash32(firstBlock) % PREFIX_SLOTS;
-  const known = router.homes.get(slot);
-  if (known !== undefined) return known;
+  const cached = router.homes.get(slot);
+  if (cached !== undefined) return cached;
   const homes = rankHighest(router.live, slot + 1, HOMES_PER_PREFIX);
   router.homes.set(slot, homes);
   return homes;
--- a/packages/coordination/src/core/routing/subset.ts
+++ b/packages/coordination/src/core/routing/subset.ts
@@ -1,26 +1,27 @@
 /**
- * Which targets an entry knows. In a small fleet: all. In a large one: a subset by rendezvous
- * hashing of (entry, target), filled evenly from the failure domains, so that the cost of an entry
- * does not grow with the fleet, targets have about the same number of entries, and a change of the
- * fleet changes few subsets. A prompt's prefix has homes besides, the same for all entries.
+ * Chooses the targets that an entry considers. An entry of a small fleet uses all targets. In a
+ * large fleet it uses a subset chosen by rendezvous hashing of (entry, target) and filled evenly
+ * from the failure domains: the cost per entry does not grow with the fleet, each target serves
+ * about the same number of entries, and a change of the fleet changes few subsets. Prompt prefixes
+ * also have home targets, which are the same for all entries.
  */
 import type { Hash32 } from '../hashing/hashing.js';
 
-/** A target as placement sees it. */
+/** The properties of a target that subset selection uses. */
 export interface Placeable {
   readonly index: number;
   readonly failureDomain: string;
   readonly nameHash: number;
 }
 
-/** Mixes two 32-bit hashes to one (the finaliser of MurmurHash3): rendezvous in integers. */
+/** Combines two 32-bit hashes with the finalizer of MurmurHash3, for rendezvous hashing. */
 export function mixHashes(a: number, b: number): number {
   let mixed = Math.imul(a ^ Math.imul(b, 0x9e3779b1), 0x85ebca6b);
   mixed = Math.imul(mixed ^ (mixed >>> 13), 0xc2b2ae35);
   return (mixed ^ (mixed >>> 16)) >>> 0;
 }
 
-/** Picks `size` targets for an entry, round robin over the failure domains. */
+/** Selects `size` targets for an entry, round robin over the failure domains. */
 export function chooseSubset<T extends Placeable>(
   targets: readonly T[],
   entry: string,
@@ -31,33 +32,35 @@
   const entryHash = hash32(entry);
   const byDomain = new Map<string, T[]>();
   for (const target of targets) {
-    const list = byDomain.get(target.failureDomain);
-    if (list === undefined) byDomain.set(target.failureDomain, [target]);
-    else list.push(target);
+    const domainTargets = byDomain.get(target.failureDomain);
+    if (domainTargets === undefined) byDomain.set(target.failureDomain, [target]);
+    else domainTargets.push(target);
   }
-  const ranked = [...byDomain.values()];
-  for (const list of ranked) {
-    list.sort((a, b) => mixHashes(entryHash, b.nameHash) - mixHashes(entryHash, a.nameHash));
+  const rankedByDomain = [...byDomain.values()];
+  for (const domainTargets of rankedByDomain) {
+    domainTargets.sort(
+      (a, b) => mixHashes(entryHash, b.nameHash) - mixHashes(entryHash, a.nameHash),
+    );
   }
-  return takeInTurn(ranked, size);
+  return takeRoundRobin(rankedByDomain, size);
 }
 
-function takeInTurn<T>(lists: readonly (readonly T[])[], size: number): readonly T[] {
+function takeRoundRobin<T>(lists: readonly (readonly T[])[], size: number): readonly T[] {
   const chosen: T[] = [];
   for (let round = 0; chosen.length < size; round += 1) {
-    let found = false;
+    let hasMore = false;
     for (const list of lists) {
       const next = list[round];
       if (next === undefined || chosen.length >= size) continue;
       chosen.push(next);
-      found = true;
+      hasMore = true;
     }
-    if (!found) break;
+    if (!hasMore) break;
   }
   return chosen;
 }
 
-/** The `count` targets that rank highest for a key among all given. O(targets). */
+/** Returns the `count` targets that rank highest for a key. Runs in O(targets). */
 export function rankHighest<T extends Placeable>(
   targets: readonly T[],
   keyHash: number,
@@ -71,5 +74,5 @@
     best.sort((a, b) => b.score - a.score);
     if (best.length > count) best.pop();
   }
-  return best.map((entry) => entry.target);
+  return best.map((ranked) => ranked.target);
 }
--- a/packages/coordination/src/core/routing/target-view.ts
+++ b/packages/coordination/src/core/routing/target-view.ts
@@ -1,14 +1,14 @@
 /**
- * What one entry believes of one target: the latest report, corrected by the entry's own dispatches
- * and ends since the report was taken. Work ahead in the queue drains with time; running answers
- * are counted out by their ends. All estimates are O(1).
+ * Estimates the current load of one target from its latest report and from the dispatches and
+ * completions of this entry since the report was taken. Queued prefill work shrinks with elapsed
+ * time, and running answers are subtracted when they end. All estimates are O(1).
  */
 import type { EngineRole } from '../model/configuration.js';
 import { decodeStepMs } from './engine-profile.js';
 import type { EngineProfile } from './engine-profile.js';
 import type { LoadReport } from './load-report.js';
 
-/** One own dispatch that a report in flight may not show yet. */
+/** A dispatch by this entry that the latest report may not include yet. */
 interface OwnDispatch {
   readonly atMs: number;
   readonly prefillTokens: number;
@@ -16,112 +16,113 @@
 }
 
 /**
- * Own dispatches remembered per target. Eight requests a second and server over five seconds of
- * lag are 40; the oldest are dropped first, they are the likeliest to be in the report already.
+ * Maximum own dispatches stored per target. Eight requests per second and server over five seconds
+ * of report delay are 40. The oldest are dropped first, since they are the most likely to be
+ * included in the report already.
  */
 const MAX_OWN_DISPATCHES = 64;
 
-/** Belief about one target. Owned by the router's state. */
+/** What an entry knows about one target. Part of the router's state. */
 export interface TargetView {
   readonly name: string;
   readonly failureDomain: string;
   readonly index: number;
-  /** Mixed hash of the name for rendezvous hashing. */
+  /** Hash of the name, for rendezvous hashing. */
   readonly nameHash: number;
   role: EngineRole;
   accepting: boolean;
   /** Extra one-way latency to this target's failure domain, in milliseconds. */
   latencyMs: number;
   report: LoadReport | null;
-  /** Moving mean of what steps take beyond the profile: chunks of prompts, or a slow engine. */
+  /** Moving mean of the step time beyond the profile, caused by prefill chunks or a slow engine. */
   excessMs: number;
   own: OwnDispatch[];
-  /** Time of the latest own dispatch. */
-  usedAtMs: number;
-  /** Own ends since the latest report. */
-  ownEnds: { readonly atMs: number; readonly contextTokens: number }[];
-  /** Grows with each thing learnt of the cache; see the prefix index. */
+  /** Time of the latest dispatch by this entry. */
+  lastDispatchAtMs: number;
+  /** Answers of this entry that ended since the latest report. */
+  ownCompletions: { readonly atMs: number; readonly contextTokens: number }[];
+  /** Increases with each gap and each invalidation of the cache records; see the prefix index. */
   cacheGeneration: number;
-  /** Cache knowledge older than this generation is doubtful, after a gap. */
-  doubtfulBefore: number;
-  /** Cache knowledge older than this generation is void, after a restart. */
-  voidBefore: number;
+  /** Cache records older than this generation are uncertain because of a gap in the events. */
+  uncertainBefore: number;
+  /** Cache records older than this generation are invalid after a restart or a cleared cache. */
+  invalidBefore: number;
   cacheEpoch: string;
   cacheSequence: number;
 }
 
-/** Load of a target now, as believed. */
+/** Estimate of a target's current load. */
 export interface LoadEstimate {
-  /** Time until the prompts ahead are read, in milliseconds. */
+  /** Time until the queued prompts have been prefilled, in milliseconds. */
   readonly queueMs: number;
   readonly runningRequests: number;
   readonly contextTokens: number;
-  /** Length of a step without prompt tokens, in milliseconds. */
+  /** Duration of a step without prompt tokens, in milliseconds. */
   readonly stepMs: number;
-  /** What steps take beyond that, of late. */
+  /** Recent step time beyond `stepMs`, in milliseconds. */
   readonly excessMs: number;
   readonly kvUsedTokens: number;
   readonly kvCapacityTokens: number;
 }
 
-/** Weight of the newest report in the excess; one step may or may not carry a chunk. */
+/** Weight of the newest report in the excess; a single step may or may not carry a chunk. */
 const EXCESS_WEIGHT = 0.2;
 
-/** Takes a report in, unless a newer one of the same epoch is known. */
-export function noteReport(view: TargetView, report: LoadReport, profile: EngineProfile): boolean {
-  const known = view.report;
-  // A report that was delayed past a newer one would roll the belief back and draw a herd; one
-  // from before a restart would bring the dead epoch back.
-  if (known?.epoch === report.epoch && report.sequence <= known.sequence) return false;
-  if (known !== null && known.epoch !== report.epoch && report.atMs < known.atMs) return false;
+/** Applies a load report and returns true, or returns false if it is not newer than the latest. */
+export function applyReport(view: TargetView, report: LoadReport, profile: EngineProfile): boolean {
+  const latest = view.report;
+  // A report that arrives after a newer one would reset the estimate and attract many requests at
+  // once. A report from before a restart would restore the previous epoch.
+  if (latest?.epoch === report.epoch && report.sequence <= latest.sequence) return false;
+  if (latest !== null && latest.epoch !== report.epoch && report.atMs < latest.atMs) return false;
   view.report = report;
   view.role = report.role;
-  noteExcess(view, report, profile);
+  updateExcess(view, report, profile);
   view.own = view.own.filter((dispatch) => dispatch.atMs > report.atMs);
-  view.ownEnds = view.ownEnds.filter((end) => end.atMs > report.atMs);
+  view.ownCompletions = view.ownCompletions.filter((end) => end.atMs > report.atMs);
   return true;
 }
 
-function noteExcess(view: TargetView, report: LoadReport, profile: EngineProfile): void {
+function updateExcess(view: TargetView, report: LoadReport, profile: EngineProfile): void {
   if (profile.roles[report.role].maxBatch === 0 || report.runningRequests === 0) {
     view.excessMs = 0;
     return;
   }
-  const plainMs = decodeStepMs(
+  const profileStepMs = decodeStepMs(
     profile,
     report.role,
     report.runningRequests,
     report.runningContextTokens,
   );
-  const excessMs = Math.max(0, report.stepMs - plainMs);
+  const excessMs = Math.max(0, report.stepMs - profileStepMs);
   view.excessMs += (excessMs - view.excessMs) * EXCESS_WEIGHT;
 }
 
-/** Remembers an own dispatch until a report shows it. */
-export function noteOwnDispatch(view: TargetView, dispatch: OwnDispatch): void {
-  view.usedAtMs = dispatch.atMs;
+/** Stores a dispatch by this entry until a report includes it. */
+export function recordOwnDispatch(view: TargetView, dispatch: OwnDispatch): void {
+  view.lastDispatchAtMs = dispatch.atMs;
   if (view.own.length >= MAX_OWN_DISPATCHES) view.own.shift();
   view.own.push(dispatch);
 }
 
-/** Remembers an own end until a report shows it. */
-export function noteOwnEnd(view: TargetView, atMs: number, contextTokens: number): void {
-  if (view.ownEnds.length >= MAX_OWN_DISPATCHES) view.ownEnds.shift();
-  view.ownEnds.push({ atMs, contextTokens });
+/** Stores the end of an answer of this entry until a report includes it. */
+export function recordOwnCompletion(view: TargetView, atMs: number, contextTokens: number): void {
+  if (view.ownCompletions.length >= MAX_OWN_DISPATCHES) view.ownCompletions.shift();
+  view.ownCompletions.push({ atMs, contextTokens });
 }
 
-/** Time that one prompt token takes on the target, with the decode steps it waits through. */
+/** Returns the prefill time per prompt token, including the decode steps that run in between. */
 export function prefillMsPerToken(
   profile: EngineProfile,
   role: EngineRole,
   stepMs: number,
 ): number {
-  const figures = profile.roles[role];
-  if (figures.chunkTokens <= 0) return Number.POSITIVE_INFINITY;
-  return figures.prefillMsPerToken + stepMs / figures.chunkTokens;
+  const roleProfile = profile.roles[role];
+  if (roleProfile.chunkTokens <= 0) return Number.POSITIVE_INFINITY;
+  return roleProfile.prefillMsPerToken + stepMs / roleProfile.chunkTokens;
 }
 
-/** Estimates the load now. `peerFactor` scales own dispatches up to those of all entries. */
+/** Estimates the current load. `peerFactor` scales own dispatches to those of all entries. */
 export function estimateLoad(
   view: TargetView,
   profile: EngineProfile,
@@ -129,23 +130,23 @@
   peerFactor: number,
 ): LoadEstimate {
   const report = view.report;
-  let moreSequences = 0;
-  let moreTokens = 0;
-  for (const end of view.ownEnds) {
-    moreSequences -= 1;
-    moreTokens -= end.contextTokens;
+  let sequenceChange = 0;
+  let tokenChange = 0;
+  for (const end of view.ownCompletions) {
+    sequenceChange -= 1;
+    tokenChange -= end.contextTokens;
   }
   if (profile.roles[view.role].maxBatch > 0) {
     for (const dispatch of view.own) {
-      moreSequences += 1;
-      moreTokens += dispatch.contextTokens;
+      sequenceChange += 1;
+      tokenChange += dispatch.contextTokens;
     }
   }
-  // The other entries see the same reports and do about the same.
-  const reported = report?.runningRequests ?? 0;
-  const sequences = Math.max(0, reported + moreSequences * peerFactor);
+  // The other entries receive the same reports and make about the same decisions.
+  const reportedRequests = report?.runningRequests ?? 0;
+  const sequences = Math.max(0, reportedRequests + sequenceChange * peerFactor);
   const reportedTokens = report?.runningContextTokens ?? 0;
-  const contextTokens = Math.max(0, reportedTokens + moreTokens * peerFactor);
+  const contextTokens = Math.max(0, reportedTokens + tokenChange * peerFactor);
   const stepMs = decodeStepMs(profile, view.role, sequences, contextTokens);
   return {
     queueMs: queueAheadMs(view, profile, nowMs, stepMs, peerFactor),
@@ -158,7 +159,10 @@
   };
 }
 
-/** Walks from the report's time to now: each own dispatch adds work, time takes work away. */
+/**
+ * Returns the time to process the queued prompts. Starts with the queue in the report, adds the
+ * work of each later dispatch and subtracts the time that has passed.
+ */
 function queueAheadMs(
   view: TargetView,
   profile: EngineProfile,
@@ -166,14 +170,14 @@
   stepMs: number,
   peerFactor: number,
 ): number {
-  const perToken = prefillMsPerToken(profile, view.role, stepMs);
-  if (!Number.isFinite(perToken)) return 0;
+  const msPerToken = prefillMsPerToken(profile, view.role, stepMs);
+  if (!Number.isFinite(msPerToken)) return 0;
   let atMs = view.report?.atMs ?? nowMs;
-  let aheadMs = (view.report?.waitingPrefillTokens ?? 0) * perToken;
+  let aheadMs = (view.report?.waitingPrefillTokens ?? 0) * msPerToken;
   for (const dispatch of view.own) {
     const fromMs = Math.max(atMs, dispatch.atMs);
     aheadMs = Math.max(0, aheadMs - (fromMs - atMs));
-    aheadMs += dispatch.prefillTokens * perToken * peerFactor;
+    aheadMs += dispatch.prefillTokens * msPerToken * peerFactor;
     atMs = fromMs;
   }
   return Math.max(0, aheadMs - (nowMs - atMs));
--- a/packages/coordination/test/core/routing/subset.test.ts
+++ b/packages/coordination/test/core/routing/subset.test.ts
@@ -1,4 +1,4 @@
-/** Subsets of a large fleet: even, spread and stable. */
+/** Tests that subsets of a large fleet are balanced over failure domains and stable. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
@@ -16,7 +16,7 @@
 }
 
 describe('subset of targets', () => {
-  it('has the wanted size and nearly equal parts of each failure domain', () => {
+  it('has the requested size and nearly equal numbers from each failure domain', () => {
     fc.assert(
       fc.property(fc.integer({ min: 49, max: 730 }), fc.string(), (size, entry) => {
         const subset = chooseSubset(fleetOf(size), entry, 48, testHash32);
@@ -33,16 +33,18 @@
 
   it('changes by at most one target per target that leaves', () => {
     const fleet = fleetOf(730);
-    const before = new Set(chooseSubset(fleet, 'entry', 48, testHash32).map((t) => t.index));
+    const before = new Set(
+      chooseSubset(fleet, 'entry', 48, testHash32).map((target) => target.index),
+    );
     const after = chooseSubset(fleet.slice(1), 'entry', 48, testHash32);
-    const fresh = after.filter((target) => !before.has(target.index));
-    assert.ok(fresh.length <= 1);
+    const addedTargets = after.filter((target) => !before.has(target.index));
+    assert.ok(addedTargets.length <= 1);
   });
 
-  it('ranks the same homes for a key whatever the order of targets', () => {
+  it('ranks the same home targets for a key in any order of targets', () => {
     const fleet = fleetOf(100);
     const homes = rankHighest(fleet, 42, 2).map((target) => target.index);
-    const again = rankHighest([...fleet].reverse(), 42, 2).map((target) => target.index);
-    assert.deepEqual(homes, again);
+    const reversedHomes = rankHighest([...fleet].reverse(), 42, 2).map((target) => target.index);
+    assert.deepEqual(homes, reversedHomes);
   });
 });
