--- a/packages/coordination/src/core/admission/admission.ts
+++ b/packages/coordination/src/core/admission/admission.ts
@@ -1,7 +1,8 @@
 /**
- * Admission in front of one service at one entry. A request is queued fairly, goes when routing
- * predicts that it begins in time, and is refused early and truthfully ("not run") when its wait
- * would be longer than it can use. Nothing is asked of other processes per request.
+ * Admission control for one service at one entry. Requests wait in a fair queue until routing
+ * predicts that they start in time. A request whose wait would be longer than its deadline allows
+ * is rejected early, with the guarantee that it has not run. No request needs a call to another
+ * process.
  */
 import type { Failure } from '../failures/failure.js';
 import {
@@ -15,54 +16,54 @@
 import {
   createFairQueue,
   enqueue,
-  putBack,
+  requeue,
   QueueRefusal,
   removeWhere,
-  takeFirstSent,
+  dequeueFirstSent,
 } from './fair-queue.js';
 import type { FairQueue, Waiting } from './fair-queue.js';
 import { createWorkspaceLimits, takeTokens } from './limits.js';
 import type { WorkspaceLimits } from './limits.js';
 
-/** What admission is made with. */
+/** Options of admission control. */
 export interface AdmissionOptions {
   readonly service: string;
   readonly maxWaiting: number;
   readonly maxWaitingPerWorkspace: number;
 }
 
-/** Bounds of the queue; the reasons are in docs/design/admission.md. */
+/** Default queue limits; the reasons are in docs/design/admission.md. */
 export const DEFAULT_ADMISSION_OPTIONS = {
   maxWaiting: 1024,
   maxWaitingPerWorkspace: 128,
 } as const;
 
-/** A request as admission sees it. */
+/** The properties of a request that admission uses. */
 export interface AdmissionRequest<T> {
   readonly workspace: string;
   readonly weight: number;
-  /** Limit of the workspace over all entries, or null. */
+  /** Rate limit of the workspace over all entries, or null if it has none. */
   readonly maxTokensPerS: number | null;
-  /** Prompt tokens plus output tokens at their price; see {@link requestCostTokens}. */
+  /** Cost of prompt and output in prompt tokens; see {@link requestCostTokens}. */
   readonly costTokens: number;
-  /** How long it may wait here and still be of use, in milliseconds. */
+  /** Maximum time that the request may wait in the queue, in milliseconds. */
   readonly patienceMs: number;
   readonly item: T;
 }
 
-/** Admission's state. */
+/** The state of admission control. */
 export interface Admission<T> {
   readonly options: AdmissionOptions;
   readonly queue: FairQueue<T>;
   readonly limits: WorkspaceLimits;
-  /** Tokens sent on per millisecond while requests waited; 0 until known. */
+  /** Tokens dispatched per millisecond while requests were queued; 0 until known. */
   drainTokensPerMs: number;
   lastPumpMs: number;
-  /** Set while the service is shed for more important ones. */
+  /** True while the service is shed in favor of more important ones. */
   shed: boolean;
 }
 
-/** Makes an admission with an empty queue. */
+/** Creates admission control with an empty queue. */
 export function createAdmission<T>(options: AdmissionOptions): Admission<T> {
   return {
     options,
@@ -75,31 +76,31 @@
 }
 
 /**
- * Engine time of an output token over that of a prompt token (0.26 ms to 0.025 ms in the default
- * profile): a workspace pays for what it takes from the others, whichever phase it takes it in.
+ * Engine time of an output token relative to a prompt token (0.26 ms to 0.025 ms in the default
+ * profile). Workspaces are charged for the engine time that they use, in either phase.
  */
-const OUTPUT_TOKEN_PRICE = 10;
+const OUTPUT_TOKEN_COST = 10;
 
-/** Cost of a request in prompt tokens. */
+/** Returns the cost of a request in prompt tokens. */
 export function requestCostTokens(promptTokens: number, expectedOutputTokens: number): number {
-  return promptTokens + expectedOutputTokens * OUTPUT_TOKEN_PRICE;
+  return promptTokens + expectedOutputTokens * OUTPUT_TOKEN_COST;
 }
 
-/** Least time that a refused caller is told to stay away, in milliseconds. */
+/** Minimum retry delay that a rejected caller receives, in milliseconds. */
 const MIN_RETRY_AFTER_MS = 250;
 
-/** Queues a request, or refuses it at once. */
+/** Queues a request and returns null, or returns the failure that rejects it. */
 export function offer<T>(
   admission: Admission<T>,
   request: AdmissionRequest<T>,
   nowMs: number,
 ): Failure<string, RefusalData> | null {
-  const refusal = (waitMs: number): RefusalData => ({
+  const refusalData = (waitMs: number): RefusalData => ({
     service: admission.options.service,
     workspace: request.workspace,
     retryAfterMs: Math.ceil(Math.max(MIN_RETRY_AFTER_MS, waitMs)),
   });
-  if (admission.shed) return SERVICE_SHED.of(refusal(backlogMs(admission)));
+  if (admission.shed) return SERVICE_SHED.of(refusalData(backlogMs(admission)));
   const limitWaitMs = takeTokens(
     admission.limits,
     request.workspace,
@@ -107,27 +108,30 @@
     request.costTokens,
     nowMs,
   );
-  if (limitWaitMs > 0) return WORKSPACE_LIMIT.of(refusal(limitWaitMs));
+  if (limitWaitMs > 0) return WORKSPACE_LIMIT.of(refusalData(limitWaitMs));
   const waitMs = predictedWaitMs(admission, request);
-  if (waitMs > request.patienceMs) return WAIT_TOO_LONG.of(refusal(waitMs));
-  const refused = enqueue(admission.queue, {
+  if (waitMs > request.patienceMs) return WAIT_TOO_LONG.of(refusalData(waitMs));
+  const refusal = enqueue(admission.queue, {
     workspace: request.workspace,
     weight: request.weight,
     costTokens: request.costTokens,
     expiresAtMs: nowMs + request.patienceMs,
     item: request.item,
   });
-  if (refused === QueueRefusal.Full) return QUEUE_FULL.of(refusal(backlogMs(admission)));
-  if (refused === QueueRefusal.WorkspaceFull) return WORKSPACE_QUEUE_FULL.of(refusal(waitMs));
+  if (refusal === QueueRefusal.Full) return QUEUE_FULL.of(refusalData(backlogMs(admission)));
+  if (refusal === QueueRefusal.WorkspaceFull) return WORKSPACE_QUEUE_FULL.of(refusalData(waitMs));
   return null;
 }
 
-/** Takes back a request that was sent and refused, truly not run, at the place it had. */
+/**
+ * Puts a request back at its position in the queue after a target rejected it without running it.
+ * Returns a failure if the queue is full.
+ */
 export function takeBack<T>(
   admission: Admission<T>,
   waiting: Waiting<T>,
 ): Failure<string, RefusalData> | null {
-  if (putBack(admission.queue, waiting)) return null;
+  if (requeue(admission.queue, waiting)) return null;
   return QUEUE_FULL.of({
     service: admission.options.service,
     workspace: waiting.workspace,
@@ -141,62 +145,64 @@
 }
 
 /**
- * Wait in fair order: what the workspace has queued itself, times the workspaces that share the
- * rate, but no more than the whole backlog. O(1), so weights other than its own are taken as equal.
+ * Predicts the wait in fair order: the tokens queued by the workspace times the number of
+ * workspaces that share the drain rate, but at most the whole backlog. To stay O(1), all weights
+ * are assumed to be equal.
  */
 function predictedWaitMs<T>(admission: Admission<T>, request: AdmissionRequest<T>): number {
   if (admission.drainTokensPerMs <= 0) return 0;
   const { queue } = admission;
-  const own = queue.flows.get(request.workspace)?.queuedTokens ?? 0;
-  const inTurn = own * Math.max(1, queue.flows.size);
-  return Math.min(queue.queuedTokens, inTurn) / admission.drainTokensPerMs;
+  const ownTokens = queue.flows.get(request.workspace)?.queuedTokens ?? 0;
+  const fairOrderTokens = ownTokens * Math.max(1, queue.flows.size);
+  return Math.min(queue.queuedTokens, fairOrderTokens) / admission.drainTokensPerMs;
 }
 
-/** What became of a request that was tried. */
+/** The result of trying to send a request. */
 export enum PumpResult {
-  /** It went to a target. */
+  /** The request was sent to a target. */
   Sent = 'sent',
-  /** No target would begin it in time now; it stays, and those behind it wait. */
+  /** No target can start the request in time now; it stays queued. */
   Wait = 'wait',
 }
 
-/** Refused by {@link pump}, with its failure. */
+/** A queued request that {@link pump} rejected because it expired. */
 export interface Expired<T> {
   readonly item: T;
   readonly failure: Failure<string, RefusalData>;
 }
 
-/** Weight of the newest rate of dispatch; the rate matters over some hundred milliseconds. */
-const RATE_WEIGHT = 0.1;
+/** Weight of the newest dispatch rate; smooths the rate over a few hundred milliseconds. */
+const DRAIN_RATE_WEIGHT = 0.1;
 
 /**
- * Requests tried in order before waiting: a long prompt at the head, which no target can begin in
- * time now, must not keep back short ones that a target could begin. They pass it, it stays first.
+ * Number of requests tried in order, to prevent head-of-line blocking: a long prompt that no target
+ * can start in time now must not delay short ones behind it. It stays at the head of the queue.
  */
-const LOOK_AHEAD = 4;
+const LOOK_AHEAD_REQUESTS = 4;
 
 /**
- * Sends waiting requests on in fair order until `trySend` takes none of the first few, then refuses
- * those that have become useless. Call it at arrivals, at reports and every few milliseconds while any wait.
+ * Dispatches queued requests in fair order until `trySend` sends none of the first few, then
+ * rejects and returns those that have expired. Must be called when requests or load reports arrive,
+ * and every few milliseconds while requests are queued.
  */
 export function pump<T>(
   admission: Admission<T>,
   nowMs: number,
   trySend: (item: T, waiting: Waiting<T>) => PumpResult,
 ): readonly Expired<T>[] {
-  const waitedBefore = admission.queue.heap.length > 0;
+  const wasContended = admission.queue.heap.length > 0;
   let sentTokens = 0;
   for (;;) {
-    const sent = takeFirstSent(
+    const sent = dequeueFirstSent(
       admission.queue,
-      LOOK_AHEAD,
+      LOOK_AHEAD_REQUESTS,
       (waiting) =>
         waiting.expiresAtMs > nowMs && trySend(waiting.item, waiting) === PumpResult.Sent,
     );
     if (sent === undefined) break;
     sentTokens += sent.costTokens;
   }
-  noteRate(admission, nowMs, sentTokens, waitedBefore);
+  updateDrainRate(admission, nowMs, sentTokens, wasContended);
   if (admission.queue.heap.length === 0) return [];
   const expired = removeWhere(admission.queue, (waiting) => waiting.expiresAtMs <= nowMs);
   return expired.map((waiting) => ({
@@ -209,16 +215,16 @@
   }));
 }
 
-function noteRate<T>(
+function updateDrainRate<T>(
   admission: Admission<T>,
   nowMs: number,
   sentTokens: number,
-  waitedBefore: boolean,
+  wasContended: boolean,
 ): void {
   const elapsedMs = nowMs - admission.lastPumpMs;
   admission.lastPumpMs = nowMs;
-  // Only a rate seen under contention says how fast the queue drains.
-  if (!waitedBefore || elapsedMs <= 0) return;
-  const weight = Math.min(1, RATE_WEIGHT * Math.max(1, elapsedMs / 20));
+  // Without contention the dispatch rate is limited by arrivals and not by the targets.
+  if (!wasContended || elapsedMs <= 0) return;
+  const weight = Math.min(1, DRAIN_RATE_WEIGHT * Math.max(1, elapsedMs / 20));
   admission.drainTokensPerMs += (sentTokens / elapsedMs - admission.drainTokensPerMs) * weight;
 }
--- a/packages/coordination/src/core/admission/failures.ts
+++ b/packages/coordination/src/core/admission/failures.ts
@@ -1,11 +1,11 @@
-/** Failures of admission. Each is a true "not run": no target was handed the request. */
+/** Failures of admission control. Each guarantees that no target has received the request. */
 import { defineFailure } from '../failures/failure.js';
 
-/** What a refusal tells its caller. */
+/** Data that a rejected caller receives. */
 export interface RefusalData {
   readonly service: string;
   readonly workspace: string;
-  /** When coming back has a fair chance, in milliseconds from now. */
+  /** Time after which a retry is likely to be admitted, in milliseconds from now. */
   readonly retryAfterMs: number;
 }
 
@@ -17,7 +17,7 @@
   hint: 'The request was not run. Send it again after the stated time.',
 });
 
-/** The workspace has as many requests waiting as it may have. */
+/** The workspace has reached its limit of queued requests. */
 export const WORKSPACE_QUEUE_FULL = defineFailure({
   name: 'admission-workspace-queue-full',
   title: 'Too many requests of this workspace wait',
@@ -26,7 +26,7 @@
   hint: 'The request was not run. Send fewer at once, or again after the stated time.',
 });
 
-/** The request would wait longer than it can use. */
+/** The predicted wait exceeds the time the request can wait. */
 export const WAIT_TOO_LONG = defineFailure({
   name: 'admission-wait-too-long',
   title: 'The wait would be too long',
@@ -35,7 +35,7 @@
   hint: 'The request was not run. Send it again after the stated time.',
 });
 
-/** The workspace used up its tokens a second. */
+/** The workspace has used up its rate limit in tokens per second. */
 export const WORKSPACE_LIMIT = defineFailure({
   name: 'admission-workspace-limit',
   title: 'The workspace is at its limit',
@@ -43,7 +43,7 @@
   hint: 'The request was not run. Send it again after the stated time.',
 });
 
-/** Overload: this service is shed before more important ones. */
+/** The service is shed under overload, in favor of more important ones. */
 export const SERVICE_SHED = defineFailure({
   name: 'admission-service-shed',
   title: 'The service is shed under overload',
--- a/packages/coordination/src/core/admission/fair-queue.ts
+++ b/packages/coordination/src/core/admission/fair-queue.ts
@@ -1,36 +1,37 @@
 /**
- * Start-time fair queueing over workspaces. Each waiting request has a start tag, the later of the
- * queue's virtual time and the end of its workspace's previous request in virtual time; the lowest
- * tag goes next. Cost is in tokens, so a workspace with long prompts gets no more than one with
- * many short ones. Capacity that one leaves idle goes to the others and comes back with its next
- * request, which starts at the virtual time: at most one request of each other waits before it.
+ * Start-time fair queueing over workspaces. Each queued request has a start tag: the later of the
+ * queue's virtual time and the virtual finish time of the previous request of its workspace. The
+ * request with the lowest tag is served next. Costs are in tokens, so a workspace with long prompts
+ * gets no more than one with many short prompts. Other workspaces use the capacity that an idle one
+ * leaves. Its next request starts at the current virtual time, so at most one request of each other
+ * workspace is served before it.
  */
 import { heapPop, heapPush } from './tag-heap.js';
 
-/** A waiting request. */
+/** A queued request. */
 export interface Waiting<T> {
   readonly workspace: string;
   readonly costTokens: number;
-  /** Beyond this the request is of no use any more. */
+  /** Time after which the request is no longer useful. */
   readonly expiresAtMs: number;
   readonly item: T;
   readonly startTag: number;
   readonly order: number;
 }
 
-/** What a workspace has waiting. */
+/** The queued requests of one workspace. */
 interface Flow {
   waiting: number;
   finishTag: number;
   queuedTokens: number;
 }
 
-/** The queue. Bounded in requests, in all and per workspace. */
+/** The fair queue. The number of requests is limited in total and per workspace. */
 export interface FairQueue<T> {
   readonly maxWaiting: number;
   readonly maxWaitingPerWorkspace: number;
   readonly flows: Map<string, Flow>;
-  /** All waiting requests; within a workspace tags rise, so one heap keeps their order too. */
+  /** All queued requests; tags increase within a workspace, so one heap preserves their order. */
   heap: Waiting<T>[];
   virtualTime: number;
   queuedTokens: number;
@@ -43,7 +44,7 @@
   WorkspaceFull = 'workspace-full',
 }
 
-/** Makes an empty queue. */
+/** Creates an empty queue. */
 export function createFairQueue<T>(
   maxWaiting: number,
   maxWaitingPerWorkspace: number,
@@ -59,22 +60,22 @@
   };
 }
 
-/** What is queued. */
-export type Arrival<T> = Omit<Waiting<T>, 'startTag' | 'order'> & {
-  /** Share of the workspace relative to others. */
+/** A request to be queued. */
+export type EnqueueRequest<T> = Omit<Waiting<T>, 'startTag' | 'order'> & {
+  /** Weight of the workspace relative to others. */
   readonly weight: number;
 };
 
-/** Queues a request, or says which bound it met. */
-export function enqueue<T>(queue: FairQueue<T>, arrival: Arrival<T>): QueueRefusal | null {
+/** Queues a request, or returns the limit that prevents it. */
+export function enqueue<T>(queue: FairQueue<T>, request: EnqueueRequest<T>): QueueRefusal | null {
   if (queue.heap.length >= queue.maxWaiting) return QueueRefusal.Full;
-  const flow = flowOf(queue, arrival.workspace);
+  const flow = flowOf(queue, request.workspace);
   if (flow.waiting >= queue.maxWaitingPerWorkspace) return QueueRefusal.WorkspaceFull;
   const startTag = Math.max(queue.virtualTime, flow.finishTag);
-  flow.finishTag = startTag + arrival.costTokens / arrival.weight;
+  flow.finishTag = startTag + request.costTokens / request.weight;
   flow.waiting += 1;
-  flow.queuedTokens += arrival.costTokens;
-  const { workspace, costTokens, expiresAtMs, item } = arrival;
+  flow.queuedTokens += request.costTokens;
+  const { workspace, costTokens, expiresAtMs, item } = request;
   const order = queue.nextOrder;
   heapPush(queue.heap, { workspace, costTokens, expiresAtMs, item, startTag, order });
   queue.nextOrder += 1;
@@ -83,23 +84,23 @@
 }
 
 function flowOf<T>(queue: FairQueue<T>, workspace: string): Flow {
-  const known = queue.flows.get(workspace);
-  if (known !== undefined) return known;
+  const existing = queue.flows.get(workspace);
+  if (existing !== undefined) return existing;
   const flow = { waiting: 0, finishTag: 0, queuedTokens: 0 };
   queue.flows.set(workspace, flow);
   return flow;
 }
 
-/** Requests of its own size that a workspace may have queued before it counts as borrowing. */
-const IN_SHARE_REQUESTS = 2;
+/** Number of similar requests that a workspace may have queued before it counts as borrowing. */
+const FAIR_SHARE_REQUESTS = 2;
 
-/** Whether a waiting request is well beyond its workspace's share: a chance pair is not. */
+/** Returns whether a request is well beyond its workspace's fair share; a chance pair is not. */
 export function isBorrowing<T>(queue: FairQueue<T>, waiting: Waiting<T>): boolean {
-  return waiting.startTag > queue.virtualTime + waiting.costTokens * IN_SHARE_REQUESTS;
+  return waiting.startTag > queue.virtualTime + waiting.costTokens * FAIR_SHARE_REQUESTS;
 }
 
-/** Puts a request back that was taken, at the place it had. False where the queue is full. */
-export function putBack<T>(queue: FairQueue<T>, waiting: Waiting<T>): boolean {
+/** Puts a dequeued request back at its position. Returns false if the queue is full. */
+export function requeue<T>(queue: FairQueue<T>, waiting: Waiting<T>): boolean {
   if (queue.heap.length >= queue.maxWaiting) return false;
   const flow = flowOf(queue, waiting.workspace);
   flow.waiting += 1;
@@ -110,78 +111,79 @@
   return true;
 }
 
-/** The request that goes next, left in the queue. */
+/** Returns the next request without removing it. */
 export function peekNext<T>(queue: FairQueue<T>): Waiting<T> | undefined {
   return queue.heap[0];
 }
 
-/** Takes the request that goes next and advances virtual time to its start tag. */
-export function takeNext<T>(queue: FairQueue<T>): Waiting<T> | undefined {
-  const head = heapPop(queue.heap);
-  if (head === undefined) return undefined;
-  noteTaken(queue, head);
-  return head;
+/** Removes and returns the next request and advances the virtual time to its start tag. */
+export function dequeue<T>(queue: FairQueue<T>): Waiting<T> | undefined {
+  const next = heapPop(queue.heap);
+  if (next === undefined) return undefined;
+  advanceVirtualTime(queue, next);
+  return next;
 }
 
 /**
- * Takes the first request that `trySend` sends, out of the first `depth` in order; the others stay
- * at their places. Undefined when it sends none.
+ * Passes up to `depth` requests in order to `trySend`, and removes and returns the first one that
+ * it sends. The others keep their positions. Returns undefined if none is sent.
  */
-export function takeFirstSent<T>(
+export function dequeueFirstSent<T>(
   queue: FairQueue<T>,
   depth: number,
   trySend: (waiting: Waiting<T>) => boolean,
 ): Waiting<T> | undefined {
-  const passed: Waiting<T>[] = [];
+  const skipped: Waiting<T>[] = [];
   let sent: Waiting<T> | undefined;
-  while (sent === undefined && passed.length < depth) {
+  while (sent === undefined && skipped.length < depth) {
     const next = heapPop(queue.heap);
     if (next === undefined) break;
     if (trySend(next)) sent = next;
-    else passed.push(next);
+    else skipped.push(next);
   }
-  for (const waiting of passed) heapPush(queue.heap, waiting);
-  if (sent !== undefined) noteTaken(queue, sent);
+  for (const waiting of skipped) heapPush(queue.heap, waiting);
+  if (sent !== undefined) advanceVirtualTime(queue, sent);
   return sent;
 }
 
-function noteTaken<T>(queue: FairQueue<T>, waiting: Waiting<T>): void {
+function advanceVirtualTime<T>(queue: FairQueue<T>, waiting: Waiting<T>): void {
   queue.virtualTime = Math.max(queue.virtualTime, waiting.startTag);
-  noteGone(queue, waiting);
+  updateAfterRemoval(queue, waiting);
 }
 
-/** Takes all out that expired or whose caller left. Costs O(waiting) where any is gone. */
+/** Removes and returns all requests that match. Costs O(n log n) if any match, O(n) otherwise. */
 export function removeWhere<T>(
   queue: FairQueue<T>,
-  isGone: (waiting: Waiting<T>) => boolean,
+  shouldRemove: (waiting: Waiting<T>) => boolean,
 ): readonly Waiting<T>[] {
-  const gone = queue.heap.filter(isGone);
-  if (gone.length === 0) return gone;
-  const staying = queue.heap.filter((waiting) => !isGone(waiting));
+  const removed = queue.heap.filter(shouldRemove);
+  if (removed.length === 0) return removed;
+  const remaining = queue.heap.filter((waiting) => !shouldRemove(waiting));
   queue.heap = [];
-  for (const waiting of staying) heapPush(queue.heap, waiting);
-  for (const waiting of gone) noteGone(queue, waiting);
-  return gone;
+  for (const waiting of remaining) heapPush(queue.heap, waiting);
+  for (const waiting of removed) updateAfterRemoval(queue, waiting);
+  return removed;
 }
 
-function noteGone<T>(queue: FairQueue<T>, waiting: Waiting<T>): void {
+function updateAfterRemoval<T>(queue: FairQueue<T>, waiting: Waiting<T>): void {
   queue.queuedTokens -= waiting.costTokens;
-  // With nobody waiting there is no contention to remember.
+  // An empty queue has no contention, so the fairness state can be discarded.
   if (queue.heap.length === 0) {
-    startOver(queue);
+    resetFairness(queue);
     return;
   }
   const flow = queue.flows.get(waiting.workspace);
   if (flow === undefined) return;
   flow.waiting -= 1;
   flow.queuedTokens -= waiting.costTokens;
-  // A flow that is ahead of virtual time keeps its tag, or leaving and coming back would pay.
+  // A flow ahead of the virtual time keeps its tag. Otherwise a workspace could gain by emptying
+  // its queue and returning.
   if (flow.waiting === 0 && flow.finishTag <= queue.virtualTime) {
     queue.flows.delete(waiting.workspace);
   }
 }
 
-function startOver<T>(queue: FairQueue<T>): void {
+function resetFairness<T>(queue: FairQueue<T>): void {
   queue.flows.clear();
   queue.virtualTime = 0;
   queue.queuedTokens = 0;
--- a/packages/coordination/src/core/admission/limits.ts
+++ b/packages/coordination/src/core/admission/limits.ts
@@ -1,41 +1,42 @@
 /**
- * Limits of tokens a second per workspace over all entries, without a call per request. Each entry
- * holds a token bucket with its part of the limit. The part follows the demand that the entries
- * gossip: an entry that sees more of a workspace gets more, and none gets less than a floor, so
- * that a workspace that moves to another entry is not shut out until the gossip has come round.
+ * Enforces a limit of tokens per second for each workspace over all entries, without a remote call
+ * per request. Each entry has a token bucket with its share of the limit. The shares follow the
+ * demand that the entries exchange by gossip: an entry with more demand from a workspace gets a
+ * larger share. Each entry keeps a minimum share, so that a workspace that moves to another entry
+ * is not rejected until the gossip has spread.
  */
 import { LRUCache } from 'lru-cache';
 
 interface Bucket {
   tokens: number;
   filledAtMs: number;
-  /** Demand seen here since the last gossip, in tokens. */
-  seenTokens: number;
-  /** This entry's part of the limit, 0 to 1. */
-  part: number;
+  /** Demand at this entry since the last gossip, in tokens. */
+  demandTokens: number;
+  /** This entry's share of the limit, 0 to 1. */
+  limitShare: number;
 }
 
-/** The buckets of one entry. */
+/** The token buckets of one entry. */
 export interface WorkspaceLimits {
   readonly buckets: LRUCache<string, Bucket>;
   entries: number;
 }
 
-/** Workspaces with a bucket: the target size has 960 in steady use. */
+/** Maximum number of buckets; the planned deployment has 960 workspaces in steady use. */
 const MAX_BUCKETS = 2048;
 
-/** Burst that a bucket holds, in seconds of its rate: evens out arrivals within a few seconds. */
+/** Capacity of a bucket in seconds of its rate; smooths arrivals over a few seconds. */
 const BURST_S = 2;
 
-/** Least part of an entry, relative to an even split. */
-const FLOOR_OF_EVEN_PART = 0.25;
+/** Minimum share of an entry, relative to an even split over the entries. */
+const MIN_SHARE_OF_EVEN_SPLIT = 0.25;
 
-/** Makes limits for a lone entry. */
+/** Creates the limits for an entry that initially assumes that it is the only one. */
 export function createWorkspaceLimits(): WorkspaceLimits {
   return { buckets: new LRUCache<string, Bucket>({ max: MAX_BUCKETS }), entries: 1 };
 }
 
-/** Takes tokens for a request. Returns 0, or after how many milliseconds it would fit. */
+/** Takes tokens for a request. Returns 0, or the milliseconds until enough tokens are available. */
 export function takeTokens(
   limits: WorkspaceLimits,
   workspace: string,
@@ -45,15 +46,15 @@
 ): number {
   if (maxTokensPerS === null) return 0;
   const bucket = bucketOf(limits, workspace, maxTokensPerS, nowMs);
-  const ratePerS = maxTokensPerS * bucket.part;
-  const fullTokens = ratePerS * BURST_S;
-  const gained = ((nowMs - bucket.filledAtMs) / 1000) * ratePerS;
-  bucket.tokens = Math.min(fullTokens, bucket.tokens + gained);
+  const ratePerS = maxTokensPerS * bucket.limitShare;
+  const capacityTokens = ratePerS * BURST_S;
+  const refillTokens = ((nowMs - bucket.filledAtMs) / 1000) * ratePerS;
+  bucket.tokens = Math.min(capacityTokens, bucket.tokens + refillTokens);
   bucket.filledAtMs = nowMs;
-  bucket.seenTokens += costTokens;
-  // A request larger than the whole burst goes when the bucket is full, else it never would.
-  const needed = Math.min(costTokens, fullTokens);
-  if (bucket.tokens < needed) return ((needed - bucket.tokens) / ratePerS) * 1000;
+  bucket.demandTokens += costTokens;
+  // A request larger than the bucket is admitted when the bucket is full; otherwise it never would.
+  const neededTokens = Math.min(costTokens, capacityTokens);
+  if (bucket.tokens < neededTokens) return ((neededTokens - bucket.tokens) / ratePerS) * 1000;
   bucket.tokens -= costTokens;
   return 0;
 }
@@ -64,41 +65,42 @@
   maxTokensPerS: number,
   nowMs: number,
 ): Bucket {
-  const known = limits.buckets.get(workspace);
-  if (known !== undefined) return known;
-  const part = 1 / limits.entries;
+  const existing = limits.buckets.get(workspace);
+  if (existing !== undefined) return existing;
+  const limitShare = 1 / limits.entries;
   const bucket: Bucket = {
-    tokens: maxTokensPerS * part * BURST_S,
+    tokens: maxTokensPerS * limitShare * BURST_S,
     filledAtMs: nowMs,
-    seenTokens: 0,
-    part,
+    demandTokens: 0,
+    limitShare,
   };
   limits.buckets.set(workspace, bucket);
   return bucket;
 }
 
-/** Demand for limited workspaces since the last call, to be gossiped; starts counting anew. */
-export function takeDemand(limits: WorkspaceLimits): ReadonlyMap<string, number> {
+/** Returns the demand of limited workspaces since the last call, for gossip, and resets it. */
+export function drainDemand(limits: WorkspaceLimits): ReadonlyMap<string, number> {
   const demand = new Map<string, number>();
   for (const [workspace, bucket] of limits.buckets.entries()) {
-    if (bucket.seenTokens > 0) demand.set(workspace, bucket.seenTokens);
-    bucket.seenTokens = 0;
+    if (bucket.demandTokens > 0) demand.set(workspace, bucket.demandTokens);
+    bucket.demandTokens = 0;
   }
   return demand;
 }
 
-/** Sets this entry's parts from its own demand and the sum that all entries gossiped. */
-export function noteDemand(
+/** Sets this entry's shares from its own demand and the total demand of all entries. */
+export function updateLimitShares(
   limits: WorkspaceLimits,
   entries: number,
   own: ReadonlyMap<string, number>,
   total: ReadonlyMap<string, number>,
 ): void {
   limits.entries = Math.max(1, entries);
-  const floor = FLOOR_OF_EVEN_PART / limits.entries;
+  const minShare = MIN_SHARE_OF_EVEN_SPLIT / limits.entries;
   for (const [workspace, bucket] of limits.buckets.entries()) {
-    const sum = total.get(workspace) ?? 0;
-    const wanted = sum > 0 ? (own.get(workspace) ?? 0) / sum : 1 / limits.entries;
-    bucket.part = floor + (1 - FLOOR_OF_EVEN_PART) * wanted;
+    const totalTokens = total.get(workspace) ?? 0;
+    const demandShare =
+      totalTokens > 0 ? (own.get(workspace) ?? 0) / totalTokens : 1 / limits.entries;
+    bucket.limitShare = minShare + (1 - MIN_SHARE_OF_EVEN_SPLIT) * demandShare;
   }
 }
--- a/packages/coordination/src/core/admission/start-rule.ts
+++ b/packages/coordination/src/core/admission/start-rule.ts
@@ -1,36 +1,38 @@
 /**
- * When a waiting request may go to a target: when routing predicts that it begins in time and that
- * it leaves the answers that run there their pace. Under overload this keeps the engines at the
- * load where they still meet their goals, and the queue where it is fair.
+ * Decides when a queued request may be sent to a target: when routing predicts that its first token
+ * arrives in time and that the answers running there still meet their inter-token goal. Under
+ * overload this keeps the engines at a load where they meet their goals, and keeps the excess in
+ * the fair queue.
  */
 import type { RoutePlan } from '../routing/route.js';
 
-/** Goals and slack of the rule. */
+/** Latency goals and the slack factors that apply to them. */
 export interface StartRule {
   readonly firstTokenGoalMs: number;
   readonly interTokenGoalMs: number;
-  /** Part of the first token goal up to which a prediction is good enough. */
+  /** Fraction of the first token goal that a prediction may reach. */
   readonly firstTokenSlack: number;
-  /** Part of the inter-token goal up to which a step is good enough. */
+  /** Fraction of the inter-token goal that a predicted step may reach. */
   readonly stepSlack: number;
-  /** Both slacks of a workspace that is beyond its share are this part: the rest is kept free. */
-  readonly borrowedPart: number;
+  /** Factor on both slacks for a workspace beyond its fair share; the rest is kept free. */
+  readonly borrowedSlackFactor: number;
 }
 
-/** Slack of the rule; sensitivity in docs/design/policy.md. */
+/** Default slack factors; docs/design/policy.md describes their sensitivity. */
 export const DEFAULT_START_SLACK = {
   firstTokenSlack: 1,
   stepSlack: 0.95,
-  borrowedPart: 0.9,
+  borrowedSlackFactor: 0.9,
 } as const;
 
-/** A prompt that takes longer than the goal by itself may take this much longer than alone. */
-const LONG_PROMPT_SLACK = 1.25;
+/** Allowed slowdown of a prompt whose prefill alone exceeds the first token goal. */
+const LONG_PREFILL_SLACK = 1.25;
 
 /**
- * Whether the request may go now, having waited that long. What is beyond a workspace's share is
- * borrowed: it may not fill the engines to the brim, so that the others, who come in their share,
- * find room at once and need not wait for an answer to end.
+ * Returns whether a request that has waited for `waitedMs` may start now. Requests beyond a
+ * workspace's fair share use borrowed capacity and must not fill the engines completely. Other
+ * workspaces that stay within their share can then start at once instead of waiting for an answer
+ * to end.
  */
 export function mayStart(
   rule: StartRule,
@@ -38,27 +40,28 @@
   waitedMs: number,
   isBorrowing: boolean,
 ): boolean {
-  const part = isBorrowing ? rule.borrowedPart : 1;
+  const slackFactor = isBorrowing ? rule.borrowedSlackFactor : 1;
   const allowedMs = Math.max(
-    rule.firstTokenGoalMs * rule.firstTokenSlack * part,
-    plan.predictedReadMs * LONG_PROMPT_SLACK,
+    rule.firstTokenGoalMs * rule.firstTokenSlack * slackFactor,
+    plan.predictedReadMs * LONG_PREFILL_SLACK,
   );
   if (waitedMs + plan.predictedFirstTokenMs > allowedMs) return false;
   if (plan.memoryShort) return false;
-  return plan.predictedStepMs <= rule.interTokenGoalMs * rule.stepSlack * part;
+  return plan.predictedStepMs <= rule.interTokenGoalMs * rule.stepSlack * slackFactor;
 }
 
-/** Load of a target's own queue as its sidecar knows it: exact, without a report's lag. */
+/** The queue of a target as its sidecar sees it: exact, without the delay of a load report. */
 export interface LocalQueue {
-  /** Time until the prompts ahead are read, in milliseconds. */
+  /** Time until the queued prompts have been prefilled, in milliseconds. */
   readonly aheadMs: number;
 }
 
 /**
- * Whether a sidecar takes a request, given how long it may still take to its first token. Entries
- * decide from old reports and at the same moment; without this check at the one place that knows,
- * two of them fill a queue that was free for one. The refusal is a true "not run".
+ * Returns whether a sidecar accepts a request whose first token is due within `budgetMs`. Entries
+ * decide concurrently and from outdated reports. Without this check at the sidecar, which knows the
+ * exact queue, two entries could fill a queue that has room for one request. A rejected request has
+ * not run.
  */
-export function sidecarTakes(queue: LocalQueue, readMs: number, budgetMs: number): boolean {
-  return queue.aheadMs + readMs <= Math.max(budgetMs, readMs * LONG_PROMPT_SLACK);
+export function sidecarTakes(queue: LocalQueue, prefillMs: number, budgetMs: number): boolean {
+  return queue.aheadMs + prefillMs <= Math.max(budgetMs, prefillMs * LONG_PREFILL_SLACK);
 }
--- a/packages/coordination/src/core/admission/tag-heap.ts
+++ b/packages/coordination/src/core/admission/tag-heap.ts
@@ -1,49 +1,51 @@
-/** A binary heap of waiting requests by start tag, first come first served among equal tags. */
+/** A binary heap of queued requests, ordered by start tag and by arrival among equal tags. */
 
-/** What the heap orders by. */
-export interface Tagged {
+/** The sort keys of a heap item. */
+export interface TaggedRequest {
   readonly startTag: number;
   readonly order: number;
 }
 
-function isBefore(a: Tagged, b: Tagged): boolean {
+function isBefore(a: TaggedRequest, b: TaggedRequest): boolean {
   return a.startTag < b.startTag || (a.startTag === b.startTag && a.order < b.order);
 }
 
 /** Adds an item in O(log n). */
-export function heapPush<T extends Tagged>(heap: T[], item: T): void {
-  let at = heap.length;
+export function heapPush<T extends TaggedRequest>(heap: T[], item: T): void {
+  let position = heap.length;
   heap.push(item);
-  while (at > 0) {
-    const parent = (at - 1) >> 1;
-    const above = heap[parent];
-    if (above === undefined || !isBefore(item, above)) break;
-    heap[at] = above;
-    at = parent;
+  while (position > 0) {
+    const parentPosition = (position - 1) >> 1;
+    const parent = heap[parentPosition];
+    if (parent === undefined || !isBefore(item, parent)) break;
+    heap[position] = parent;
+    position = parentPosition;
   }
-  heap[at] = item;
+  heap[position] = item;
 }
 
-/** Takes the first item out in O(log n). */
-export function heapPop<T extends Tagged>(heap: T[]): T | undefined {
+/** Removes and returns the first item in O(log n). */
+export function heapPop<T extends TaggedRequest>(heap: T[]): T | undefined {
   const first = heap[0];
   const last = heap.pop();
   if (first === undefined || last === undefined || heap.length === 0) return first;
-  let at = 0;
+  let position = 0;
   for (;;) {
-    const child = smallerChild(heap, at);
-    const below = heap[child];
-    if (below === undefined || !isBefore(below, last)) break;
-    heap[at] = below;
-    at = child;
+    const childPosition = smallerChild(heap, position);
+    const child = heap[childPosition];
+    if (child === undefined || !isBefore(child, last)) break;
+    heap[position] = child;
+    position = childPosition;
   }
-  heap[at] = last;
+  heap[position] = last;
   return first;
 }
 
-function smallerChild<T extends Tagged>(heap: readonly T[], at: number): number {
-  const left = 2 * at + 1;
-  const a = heap[left];
-  const b = heap[left + 1];
-  return a !== undefined && b !== undefined && isBefore(b, a) ? left + 1 : left;
+function smallerChild<T extends TaggedRequest>(heap: readonly T[], parentPosition: number): number {
+  const leftPosition = 2 * parentPosition + 1;
+  const left = heap[leftPosition];
+  const right = heap[leftPosition + 1];
+  return left !== undefined && right !== undefined && isBefore(right, left)
+    ? leftPosition + 1
+    : leftPosition;
 }
--- a/packages/coordination/test/core/admission/admission.test.ts
+++ b/packages/coordination/test/core/admission/admission.test.ts
@@ -1,4 +1,4 @@
-/** Admission: early and true refusals, and the order in which requests start. */
+/** Tests of admission control: early rejections and the order in which requests start. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import {
@@ -17,11 +17,11 @@
 } from '../../../src/index.js';
 import type { Admission, AdmissionRequest, FairWaiting, RoutePlan } from '../../../src/index.js';
 
-function admissionOf(maxWaiting = 100): Admission<string> {
+function createTestAdmission(maxWaiting = 100): Admission<string> {
   return createAdmission({ service: 's', maxWaiting, maxWaitingPerWorkspace: 50 });
 }
 
-function ask(item: string, differing: Partial<AdmissionRequest<string>> = {}) {
+function requestOf(item: string, overrides: Partial<AdmissionRequest<string>> = {}) {
   return {
     workspace: 'w',
     weight: 1,
@@ -29,7 +29,7 @@
     costTokens: 1000,
     patienceMs: 300,
     item,
-    ...differing,
+    ...overrides,
   };
 }
 
@@ -50,14 +50,14 @@
   interTokenGoalMs: 80,
   firstTokenSlack: 1,
   stepSlack: 0.95,
-  borrowedPart: 0.9,
+  borrowedSlackFactor: 0.9,
 };
 
 describe('admission', () => {
-  describe('a request that nobody can begin', () => {
-    it('is refused as not run when its time is over, and never sent after', () => {
-      const admission = admissionOf();
-      assert.equal(offer(admission, ask('r'), 0), null);
+  describe('a request that no target can start', () => {
+    it('is rejected as not run when it expires, and is not sent afterwards', () => {
+      const admission = createTestAdmission();
+      assert.equal(offer(admission, requestOf('r'), 0), null);
       assert.deepEqual(
         pump(admission, 100, () => PumpResult.Wait),
         [],
@@ -68,26 +68,27 @@
       assert.ok(expired.failure.data.retryAfterMs > 0);
     });
 
-    it('is refused at once when the queue ahead is known to take longer', () => {
-      const admission = admissionOf();
+    it('is rejected at once when the predicted wait is too long', () => {
+      const admission = createTestAdmission();
       for (let nowMs = 0; nowMs < 2000; nowMs += 20) {
-        offer(admission, ask('r', { patienceMs: 10_000 }), nowMs);
+        offer(admission, requestOf('r', { patienceMs: 10_000 }), nowMs);
         let sent = 0;
         pump(admission, nowMs, () =>
           sent++ === 0 && nowMs % 200 === 0 ? PumpResult.Sent : PumpResult.Wait,
         );
       }
-      const refused = offer(admission, ask('late'), 2000);
+      const refused = offer(admission, requestOf('late'), 2000);
       assert.ok(refused && WAIT_TOO_LONG.is(refused));
     });
   });
 
   describe('a long prompt at the head', () => {
-    // Users of short questions see refusals while engines have room: the prompt at the head fits
-    // nowhere now, and all behind it wait until they are useless.
-    it('lets short ones pass and stays first itself', () => {
-      const admission = admissionOf();
-      for (const item of ['long', 'short']) offer(admission, ask(item, { workspace: item }), 0);
+    // Head-of-line blocking: no target can start the prompt at the head now, and without look-ahead
+    // all requests behind it would expire while targets have capacity.
+    it('does not block short prompts and stays first in the queue', () => {
+      const admission = createTestAdmission();
+      for (const item of ['long', 'short'])
+        offer(admission, requestOf(item, { workspace: item }), 0);
       const sent: string[] = [];
       const trySend = (item: string): PumpResult => {
         if (item === 'long') return PumpResult.Wait;
@@ -100,57 +101,57 @@
     });
   });
 
-  describe('refusals', () => {
-    it('name a full queue, a limit and a shed service', () => {
-      const admission = admissionOf(1);
-      assert.equal(offer(admission, ask('a'), 0), null);
-      const full = offer(admission, ask('b', { workspace: 'v' }), 0);
+  describe('rejections', () => {
+    it('state a full queue, a rate limit or a shed service as the reason', () => {
+      const admission = createTestAdmission(1);
+      assert.equal(offer(admission, requestOf('a'), 0), null);
+      const full = offer(admission, requestOf('b', { workspace: 'v' }), 0);
       assert.ok(full && QUEUE_FULL.is(full));
-      const limited = admissionOf();
-      const asked = ask('c', { maxTokensPerS: 500 });
-      assert.equal(offer(limited, asked, 0), null);
-      const over = offer(limited, asked, 0);
+      const limited = createTestAdmission();
+      const request = requestOf('c', { maxTokensPerS: 500 });
+      assert.equal(offer(limited, request, 0), null);
+      const over = offer(limited, request, 0);
       assert.ok(over && WORKSPACE_LIMIT.is(over));
       limited.shed = true;
-      const shed = offer(limited, ask('d'), 0);
+      const shed = offer(limited, requestOf('d'), 0);
       assert.ok(shed && SERVICE_SHED.is(shed));
     });
 
-    it('take a bounced request back without charging its limit twice', () => {
-      const admission = admissionOf();
-      const asked = ask('a', { maxTokensPerS: 500 });
-      assert.equal(offer(admission, asked, 0), null);
-      let place: FairWaiting<string> | undefined;
+    it('requeue a request that a target rejected without charging its limit again', () => {
+      const admission = createTestAdmission();
+      const request = requestOf('a', { maxTokensPerS: 500 });
+      assert.equal(offer(admission, request, 0), null);
+      let dequeued: FairWaiting<string> | undefined;
       pump(admission, 0, (_, waiting) => {
-        place = waiting;
+        dequeued = waiting;
         return PumpResult.Sent;
       });
-      assert.ok(place);
-      assert.equal(takeBack(admission, place), null);
+      assert.ok(dequeued);
+      assert.equal(takeBack(admission, dequeued), null);
       assert.equal(admission.queue.heap.length, 1);
     });
   });
 
   describe('the start rule', () => {
-    it('waits when the first token would be late, the batch slow or the memory short', () => {
+    it('delays a request when its first token would be late, steps slow or memory short', () => {
       assert.equal(mayStart(RULE, PLAN, 0, false), true);
       assert.equal(mayStart(RULE, PLAN, 300, false), false);
       assert.equal(mayStart(RULE, { ...PLAN, predictedStepMs: 79 }, 0, false), false);
       assert.equal(mayStart(RULE, { ...PLAN, memoryShort: true }, 0, false), false);
     });
 
-    it('keeps room free from a workspace beyond its share', () => {
+    it('reserves capacity from a workspace beyond its fair share', () => {
       const nearGoal = { ...PLAN, predictedStepMs: 72 };
       assert.equal(mayStart(RULE, nearGoal, 0, false), true);
       assert.equal(mayStart(RULE, nearGoal, 0, true), false);
     });
 
-    it('lets a prompt start that is longer than the goal by itself', () => {
-      const long = { ...PLAN, predictedReadMs: 500, predictedFirstTokenMs: 540 };
-      assert.equal(mayStart(RULE, long, 0, false), true);
+    it('starts a prompt whose prefill alone exceeds the first token goal', () => {
+      const longPrompt = { ...PLAN, predictedReadMs: 500, predictedFirstTokenMs: 540 };
+      assert.equal(mayStart(RULE, longPrompt, 0, false), true);
     });
 
-    it('makes a sidecar refuse what its own queue would make late', () => {
+    it('lets a sidecar reject a request that its own queue would delay too long', () => {
       assert.equal(sidecarTakes({ aheadMs: 100 }, 50, 300), true);
       assert.equal(sidecarTakes({ aheadMs: 300 }, 50, 300), false);
     });
--- a/packages/coordination/test/core/admission/fair-queue.test.ts
+++ b/packages/coordination/test/core/admission/fair-queue.test.ts
@@ -1,4 +1,4 @@
-/** Fair queueing: what a workspace can do to the waits of others, and its bounds. */
+/** Tests of the fair queue: how a workspace affects the waits of others, and the queue limits. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
@@ -7,7 +7,7 @@
   enqueue,
   QueueRefusal,
   removeWhere,
-  takeNext,
+  dequeue,
 } from '../../../src/core/admission/fair-queue.js';
 import type { FairQueue } from '../../../src/core/admission/fair-queue.js';
 
@@ -21,60 +21,60 @@
 }
 
 describe('fair queue', () => {
-  describe('a hog', () => {
-    // Partners accuse each other of hogging. One sends hundreds of requests, then another sends
-    // one. Whatever the hog queued, at most one of its requests goes before the newcomer's.
-    it('delays a newcomer by at most one of its requests', () => {
+  describe('a workspace with a large backlog', () => {
+    // Prevents starvation by a backlog: one workspace queues up to a hundred requests, then another
+    // queues one. At most one request of the backlog may be served before the other's request.
+    it('delays another workspace by at most one of its requests', () => {
       fc.assert(
         fc.property(
           fc.array(fc.integer({ min: 1, max: 10_000 }), { minLength: 1, maxLength: 100 }),
           fc.integer({ min: 0, max: 50 }),
           fc.integer({ min: 1, max: 10_000 }),
-          (hogCosts, takenBefore, cost) => {
+          (backlogCosts, maxDequeued, cost) => {
             const queue = createFairQueue<string>(1000, 1000);
-            for (const hogCost of hogCosts) add(queue, 'hog', hogCost);
-            const taken = Math.min(takenBefore, hogCosts.length - 1);
-            for (let count = 0; count < taken; count += 1) takeNext(queue);
+            for (const backlogCost of backlogCosts) add(queue, 'hog', backlogCost);
+            const dequeuedCount = Math.min(maxDequeued, backlogCosts.length - 1);
+            for (let count = 0; count < dequeuedCount; count += 1) dequeue(queue);
             add(queue, 'newcomer', cost);
-            const next = [takeNext(queue), takeNext(queue)].map((waiting) => waiting?.item);
-            assert.ok(next.includes('newcomer'));
+            const nextItems = [dequeue(queue), dequeue(queue)].map((waiting) => waiting?.item);
+            assert.ok(nextItems.includes('newcomer'));
           },
         ),
         { seed: 5 },
       );
     });
 
-    it('gives backlogged workspaces tokens by their weights', () => {
+    it('shares tokens with other backlogged workspaces by weight', () => {
       const queue = createFairQueue<string>(1000, 1000);
       for (let count = 0; count < 200; count += 1) {
         add(queue, 'heavy', 100, 3);
         add(queue, 'light', 100, 1);
       }
-      const first = Array.from({ length: 100 }, () => takeNext(queue)?.item);
+      const first = Array.from({ length: 100 }, () => dequeue(queue)?.item);
       const heavy = first.filter((item) => item === 'heavy').length;
       assert.ok(Math.abs(heavy - 75) <= 2);
     });
 
-    it('may use all that others leave idle', () => {
+    it('may use all capacity that others leave idle', () => {
       const queue = createFairQueue<string>(10, 10);
       for (let count = 0; count < 10; count += 1) add(queue, 'hog', 100);
-      for (let count = 0; count < 10; count += 1) assert.equal(takeNext(queue)?.item, 'hog');
+      for (let count = 0; count < 10; count += 1) assert.equal(dequeue(queue)?.item, 'hog');
     });
   });
 
-  describe('its bounds', () => {
-    it('refuses beyond the bound of all and of one workspace, and takes again after', () => {
+  describe('queue limits', () => {
+    it('rejects requests beyond the total and workspace limits and accepts later ones', () => {
       const queue = createFairQueue<string>(3, 2);
       assert.equal(add(queue, 'a', 1), null);
       assert.equal(add(queue, 'a', 1), null);
       assert.equal(add(queue, 'a', 1), QueueRefusal.WorkspaceFull);
       assert.equal(add(queue, 'b', 1), null);
       assert.equal(add(queue, 'c', 1), QueueRefusal.Full);
-      takeNext(queue);
+      dequeue(queue);
       assert.equal(add(queue, 'c', 1), null);
     });
 
-    it('keeps no state of workspaces when empty', () => {
+    it('keeps no workspace state when empty', () => {
       const queue = createFairQueue<string>(1000, 10);
       for (let index = 0; index < 960; index += 1) add(queue, `w${String(index)}`, 5);
       assert.equal(removeWhere(queue, () => true).length, 960);
--- a/packages/coordination/test/core/admission/limits.test.ts
+++ b/packages/coordination/test/core/admission/limits.test.ts
@@ -1,43 +1,43 @@
-/** Limits over several entries and shedding by importance. */
+/** Tests of workspace rate limits over several entries, and of load shedding by priority. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import {
   createWorkspaceLimits,
   effectivePriorities,
-  noteDemand,
+  updateLimitShares,
   servicesToShed,
-  takeDemand,
+  drainDemand,
   takeTokens,
 } from '../../../src/index.js';
 
 describe('workspace limits', () => {
-  it('hold a workspace to its rate over time', () => {
+  it('limit a workspace to its rate over time', () => {
     const limits = createWorkspaceLimits();
-    let taken = 0;
+    let takenTokens = 0;
     for (let nowMs = 0; nowMs < 60_000; nowMs += 10) {
-      if (takeTokens(limits, 'w', 1000, 100, nowMs) === 0) taken += 100;
+      if (takeTokens(limits, 'w', 1000, 100, nowMs) === 0) takenTokens += 100;
     }
-    assert.ok(taken >= 60_000 && taken <= 62_100);
+    assert.ok(takenTokens >= 60_000 && takenTokens <= 62_100);
   });
 
-  it('let a request through that is larger than the burst, and make the next wait for it', () => {
+  it('admit a request larger than the burst and delay the next one accordingly', () => {
     const limits = createWorkspaceLimits();
     assert.equal(takeTokens(limits, 'w', 10, 5000, 0), 0);
     assert.ok(takeTokens(limits, 'w', 10, 5000, 1000) > 100_000);
   });
 
-  it('follow the demand between entries, and never give more than the limit in all', () => {
+  it('follow the demand at each entry without exceeding the limit in total', () => {
     const [busy, quiet] = [createWorkspaceLimits(), createWorkspaceLimits()];
-    for (const limits of [busy, quiet]) noteDemand(limits, 2, new Map(), new Map());
+    for (const limits of [busy, quiet]) updateLimitShares(limits, 2, new Map(), new Map());
     for (let nowMs = 0; nowMs < 1000; nowMs += 10) takeTokens(busy, 'w', 1000, 90, nowMs);
     takeTokens(quiet, 'w', 1000, 1000, 0);
-    const [busyDemand, quietDemand] = [takeDemand(busy), takeDemand(quiet)];
+    const [busyDemand, quietDemand] = [drainDemand(busy), drainDemand(quiet)];
     const total = new Map([['w', (busyDemand.get('w') ?? 0) + (quietDemand.get('w') ?? 0)]]);
-    noteDemand(busy, 2, busyDemand, total);
-    noteDemand(quiet, 2, quietDemand, total);
-    const parts = [busy, quiet].map((limits) => limits.buckets.get('w')?.part ?? 0);
-    assert.ok((parts[0] ?? 0) > (parts[1] ?? 0));
-    assert.ok(Math.abs((parts[0] ?? 0) + (parts[1] ?? 0) - 1) < 1e-9);
+    updateLimitShares(busy, 2, busyDemand, total);
+    updateLimitShares(quiet, 2, quietDemand, total);
+    const shares = [busy, quiet].map((limits) => limits.buckets.get('w')?.limitShare ?? 0);
+    assert.ok((shares[0] ?? 0) > (shares[1] ?? 0));
+    assert.ok(Math.abs((shares[0] ?? 0) + (shares[1] ?? 0) - 1) < 1e-9);
   });
 });
 
@@ -48,11 +48,11 @@
     { name: 'drafts', priority: 2, dependsOn: [] },
   ];
 
-  it('ranks a dependency with the most important service that needs it', () => {
+  it('ranks a dependency as high as the most important service that needs it', () => {
     assert.equal(effectivePriorities(services).get('lookup'), 5);
   });
 
-  it('sheds the least important first and the most important never', () => {
+  it('sheds the least important service first and the most important one never', () => {
     const priorities = effectivePriorities(services);
     assert.deepEqual([...servicesToShed(priorities, 0.5)], []);
     assert.deepEqual([...servicesToShed(priorities, 1)], ['drafts']);
