--- a/packages/coordination/src/core/retries/retries.ts
+++ b/packages/coordination/src/core/retries/retries.ts
@@ -1,25 +1,29 @@
 /**
- * Retries that cannot feed on themselves. Each service has a token bucket: a first try puts in a
- * fraction of a token, a retry or hedge takes a whole one. Whatever fails, retries are therefore at
- * most that fraction of first tries plus one bucket; back-off with full jitter spreads them.
+ * Retry budgets and backoff. Each service has a token bucket: a first attempt adds a fraction of a
+ * token, and a retry or hedge takes a whole token. Retries are therefore limited to that fraction
+ * of the first attempts plus one bucket, even if everything fails. Backoff with full jitter spreads
+ * them over time.
  */
 import type { Random } from '../random/random.js';
 
-/** Bounds of retrying, per service. */
+/** Limits of retries for one service. */
 export interface RetryOptions {
-  /** Tokens that one first try puts in: the long-run share of retries. */
+  /** Tokens added by one first attempt, which is the long-term ratio of retries. */
   readonly ratio: number;
-  /** Most tokens in the bucket: the retries that one burst of failures may use. */
+  /** Capacity of the bucket, which is the number of retries that a burst of failures may use. */
   readonly burst: number;
   readonly baseBackOffMs: number;
   readonly maxBackOffMs: number;
-  /** Attempts of one request in all, counting the first. */
+  /** Maximum attempts of one request, including the first. */
   readonly maxAttempts: number;
-  /** Attempts that a record holds in all, whoever makes them. */
+  /** Maximum attempts that the record of a request holds, by any entry. */
   readonly maxRecordAttempts: number;
 }
 
-/** Tenth of first tries; a burst that covers the loss of an ordinary failure; sub-second back-off. */
+/**
+ * Default limits: retries for a tenth of the first attempts, a burst that covers the losses of an
+ * ordinary failure, and a base backoff well below a second.
+ */
 export const DEFAULT_RETRY_OPTIONS: RetryOptions = {
   ratio: 0.1,
   burst: 50,
@@ -29,28 +33,28 @@
   maxRecordAttempts: 16,
 };
 
-/** The bucket of one service in one entry. */
+/** The token bucket of one service in one entry. */
 export interface RetryBudget {
   tokens: number;
 }
 
-/** A full bucket. */
+/** Creates a full bucket. */
 export function createRetryBudget(options: RetryOptions): RetryBudget {
   return { tokens: options.burst };
 }
 
-/** Counts a first try. */
+/** Adds the tokens of a first attempt. */
 export function depositFirstTry(budget: RetryBudget, options: RetryOptions): void {
   budget.tokens = Math.min(options.burst, budget.tokens + options.ratio);
 }
 
-/** Takes the token of one retry; false when the budget is spent and the retry must not happen. */
+/** Takes the token of one retry. Returns false if the budget is exhausted: do not retry then. */
 export type WithdrawRetry = (budget: RetryBudget) => boolean;
 
 /**
- * Guards against a retry storm. Failure: an overloaded fleet times requests out, entries try each
- * again, and the load multiplies; it shows as more attempts than requests by a factor. The guard
- * holds because a retry needs a whole token and only first tries bring tokens.
+ * Takes the token of one retry, which prevents retry storms. Without a budget, requests that time
+ * out in an overloaded fleet are all retried and the load multiplies. The budget limits this
+ * because a retry needs a whole token and only first attempts add tokens.
  */
 export const withdrawRetry: WithdrawRetry = (budget) => {
   if (budget.tokens < 1) return false;
@@ -58,50 +62,52 @@
   return true;
 };
 
-/** Time to wait before retry number `retry` (1, 2, …): full jitter under a doubling bound. */
+/** Returns the wait before retry number `retry` (1, 2, …): full jitter under a doubling bound. */
 export function backOffMs(retry: number, options: RetryOptions, random: Random): number {
-  const bound = Math.min(options.maxBackOffMs, options.baseBackOffMs * 2 ** (retry - 1));
-  return Math.ceil(random() * bound);
+  const boundMs = Math.min(options.maxBackOffMs, options.baseBackOffMs * 2 ** (retry - 1));
+  return Math.ceil(random() * boundMs);
 }
 
-/** Bounds of a wait that doubles with each failure. */
+/** Limits of a wait that doubles with each failure. */
 export interface BackOffBounds {
   readonly firstMs: number;
   readonly mostMs: number;
 }
 
-/** Doublings after which any sensible bound is reached. */
-const MOST_DOUBLINGS = 16;
+/** Maximum number of doublings; any sensible limit is reached earlier. */
+const MAX_DOUBLINGS = 16;
 
 /**
- * Time to wait after a number of failures in a row: a random part, at least half, of a doubling
- * bound. For one who goes on until it succeeds, where {@link backOffMs} could ask again at once.
+ * Returns the wait after a number of consecutive failures: a random part, at least half, of a
+ * doubling bound. Intended for callers that retry until they succeed; {@link backOffMs} could let
+ * them retry at once.
  */
 export function waitAfterFailuresMs(
   failures: number,
   { firstMs, mostMs }: BackOffBounds,
   random: Random,
 ): number {
-  const doublings = Math.min(MOST_DOUBLINGS, Math.max(0, failures - 1));
+  const doublings = Math.min(MAX_DOUBLINGS, Math.max(0, failures - 1));
   const boundMs = Math.min(mostMs, firstMs * 2 ** doublings);
   return boundMs * (0.5 + random() / 2);
 }
 
-/** What decides whether a second copy of a slow request may run beside the first. */
-export interface HedgeQuestion {
+/** A slow request that may be hedged, which means to run a second copy beside the first. */
+export interface HedgeCandidate {
   readonly repeatable: boolean;
   readonly suspect: boolean;
   readonly tokensReceived: number;
   readonly waitedMs: number;
-  /** Wait that 95 in 100 requests of the service stay under. */
+  /** The 95th percentile of the service's wait, in milliseconds. */
   readonly slowAfterMs: number;
 }
 
 /**
- * Whether to hedge. Never for a call that may not be repeated nor for a suspect of crashes, and
- * not once tokens came, since the other copy's text could differ.
+ * Returns whether to hedge a slow request, and takes a retry token if so. Requests that may not be
+ * repeated or are suspected of crashing engines are never hedged, nor are requests that have
+ * received tokens, because the text of the second copy could differ.
  */
-export function mayHedge(question: HedgeQuestion, budget: RetryBudget): boolean {
-  if (!question.repeatable || question.suspect || question.tokensReceived > 0) return false;
-  return question.waitedMs > question.slowAfterMs && withdrawRetry(budget);
+export function mayHedge(candidate: HedgeCandidate, budget: RetryBudget): boolean {
+  if (!candidate.repeatable || candidate.suspect || candidate.tokensReceived > 0) return false;
+  return candidate.waitedMs > candidate.slowAfterMs && withdrawRetry(budget);
 }
--- a/packages/coordination/test/core/retries/retries.test.ts
+++ b/packages/coordination/test/core/retries/retries.test.ts
@@ -1,4 +1,4 @@
-/** Retries: bounded whatever fails, spread, never for calls that may not be repeated. */
+/** Tests that retries are limited and spread, and that only suitable requests are hedged. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
@@ -13,28 +13,29 @@
 } from '../../../src/core/retries/retries.js';
 
 describe('retries', () => {
-  // Story: the fleet is overloaded, every request fails, every entry tries again; the load doubles
-  // and doubles. Cause: retries without a bound. Here all tries fail, whatever their order.
-  it('cannot form a storm: all failing, they stay within ratio and burst', () => {
+  // Prevents retry storms: in an overloaded fleet every request fails and every entry retries it,
+  // so unlimited retries multiply the load. Here all attempts fail, in any order of arrivals and
+  // retries.
+  it('stay within ratio and burst when everything fails', () => {
     fc.assert(
       fc.property(fc.array(fc.boolean(), { maxLength: 2000 }), (arrivals) => {
         const budget = createRetryBudget(DEFAULT_RETRY_OPTIONS);
-        let first = 0;
-        let retried = 0;
+        let firstAttempts = 0;
+        let retries = 0;
         for (const isArrival of arrivals) {
           if (isArrival) {
-            first += 1;
+            firstAttempts += 1;
             depositFirstTry(budget, DEFAULT_RETRY_OPTIONS);
-          } else if (withdrawRetry(budget)) retried += 1;
+          } else if (withdrawRetry(budget)) retries += 1;
         }
         const { burst, ratio } = DEFAULT_RETRY_OPTIONS;
-        assert.ok(retried <= burst + first * ratio);
+        assert.ok(retries <= burst + firstAttempts * ratio);
       }),
       { seed: 5, numRuns: 200 },
     );
   });
 
-  it('are spread by full jitter under a bound that doubles', () => {
+  it('are spread by full jitter under a doubling bound', () => {
     const random = seededRandom(3);
     for (let retry = 1; retry < 12; retry += 1) {
       const waitMs = backOffMs(retry, DEFAULT_RETRY_OPTIONS, random);
@@ -42,7 +43,7 @@
     }
   });
 
-  it('hedge only what may run twice, is slow and has made no text', () => {
+  it('hedge only slow, repeatable requests that have received no tokens', () => {
     const budget = createRetryBudget(DEFAULT_RETRY_OPTIONS);
     const slow = {
       repeatable: true,
--- a/packages/coordination/test/core/retries/retry-budget.test.ts
+++ b/packages/coordination/test/core/retries/retry-budget.test.ts
@@ -1,4 +1,4 @@
-/** The bucket that keeps retries a ratio of first tries. */
+/** Tests of the token bucket that limits retries to a ratio of the first attempts. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import {
@@ -12,11 +12,11 @@
 
 describe('the retry budget of a service', () => {
   /*
-   * Story: a switch fails and every call of a service fails. Callers see errors at once, yet the
-   * targets that still answer must not get twice the load. The bucket runs dry after its burst and
-   * then grants one retry per ten first tries.
+   * A network switch fails and with it every call of a service. The targets that still answer must
+   * not get twice the load. The bucket is empty after its burst and then allows one retry per ten
+   * first attempts.
    */
-  it('stays a ratio of first tries when everything fails', () => {
+  it('limits retries to a ratio of the first attempts when everything fails', () => {
     const budget = createRetryBudget(OPTIONS);
     let retries = 0;
     for (let call = 0; call < 1_000; call += 1) {
@@ -27,7 +27,7 @@
     assert.ok(retries >= 100);
   });
 
-  it('saves up no more than its burst', () => {
+  it('holds no more tokens than its burst', () => {
     const budget = createRetryBudget(OPTIONS);
     for (let call = 0; call < 1_000; call += 1) depositFirstTry(budget, OPTIONS);
     assert.equal(budget.tokens, OPTIONS.burst);
