--- a/packages/coordination/src/core/records/drive-agreement.ts
+++ b/packages/coordination/src/core/records/drive-agreement.ts
@@ -1,11 +1,12 @@
 /**
- * Agreement of the holders: which of two attempts goes on, and one committed answer before it is told.
+ * Makes the holders agree: on one of two competing attempts, and on one committed answer before the
+ * answer is sent to the caller.
  */
 
 import { RunState } from '../model/outcome.js';
-import { decide } from './drive-attempts.js';
+import { startNextStep } from './drive-attempts.js';
 import { closeStream, deliverAnswer } from './drive-delivery.js';
-import { settleLoneRun, tellRefusal } from './drive-refusals.js';
+import { settleLoneRun, sendRefusal } from './drive-refusals.js';
 import { beginRound } from './drive-rounds.js';
 import type { Turn } from './drive-support.js';
 import { LoneRunEnd, DrivePhase } from './drive-types.js';
@@ -16,77 +17,80 @@
 import type { Answer, Attempt } from './record.js';
 
 /**
- * Guards the reader of a later attempt. Failure: an earlier attempt's answer, not committed, is
- * found at one holder and carried to the others while the later attempt runs; it shows as a caller
- * that is cut at the end of a whole text. The guard holds because such an answer is left alone as
- * long as the later attempt may come to its end.
+ * Returns whether an answer may be replicated and delivered: it is committed, or no later attempt
+ * may still be running. Without this check, an uncommitted answer of an earlier attempt found on
+ * one holder would be copied to the others while a later attempt runs, and the caller reading the
+ * later attempt would be cut off at the end of its text.
  */
-export function answerStands(turn: Turn, answer: Answer): boolean {
-  const { drive } = turn;
-  const current = currentAttempt(drive.known);
+export function isAnswerUsable(turn: Turn, answer: Answer): boolean {
+  const { machine } = turn;
+  const current = currentAttempt(machine.known);
   if (answer.committedForMs !== null || current === null) return true;
-  return current.number <= answer.attemptNumber || drive.over.has(current.id);
+  return current.number <= answer.attemptNumber || machine.over.has(current.id);
 }
 
 /**
- * A note was not taken by all holders since another attempt stands there. Of two attempts that each
- * have some holder the smaller id wins; only a present holder counts, and no member that is asked
- * beside the holders, or an attempt would win over one that all holders have and that may run.
+ * Resolves the conflict if some holders rejected the attempt because they have another one. Of two
+ * attempts that are each recorded on some holder, the one with the smaller id wins. Only current
+ * holders count, not the additional members of the round; otherwise an attempt could win over one
+ * that all holders have recorded and that may be running.
  */
-export function resolveNote(turn: Turn): void {
-  const { drive } = turn;
-  const { attempt, round } = drive;
+export function resolveNoteConflict(turn: Turn): void {
+  const { machine } = turn;
+  const { attempt, round } = machine;
   if (attempt === null || round === null) return;
   const holders = turn.context.holders();
   const replies = [...round.replies].map(([member, reply]) => ({ member, reply }));
-  const rivals = replies.flatMap(({ reply }) => standingRival(reply, attempt));
+  const competing = replies.flatMap(({ reply }) => findCompetingAttempts(reply, attempt));
   const isNotedSomewhere = replies.some(
     ({ member, reply }) => holders.includes(member) && reply.kind === HolderReplyKind.Done,
   );
   const winsTie =
     isNotedSomewhere &&
-    rivals.every((rival) => rival.number === attempt.number && attempt.id < rival.id);
-  const rival = rivals[0];
-  if (drive.known.answer === null && winsTie && rival !== undefined) {
-    const { known } = drive;
+    competing.every((other) => other.number === attempt.number && attempt.id < other.id);
+  const competitor = competing[0];
+  if (machine.known.answer === null && winsTie && competitor !== undefined) {
+    const { known } = machine;
     beginRound(turn, {
       kind: HolderCallKind.Note,
       record: { ...known, attempts: known.attempts.filter((other) => other.id !== attempt.id) },
       attempt,
-      previousId: rival.id,
+      previousId: competitor.id,
     });
     return;
   }
-  yieldToStanding(turn, attempt);
+  abandonForCompeting(turn, attempt);
 }
 
-export function standingRival(reply: HolderReply, attempt: Attempt): readonly Attempt[] {
+/** Returns the latest attempt of the record that a holder replied with, if it is not `attempt`. */
+export function findCompetingAttempts(reply: HolderReply, attempt: Attempt): readonly Attempt[] {
   if (reply.kind !== HolderReplyKind.Standing || reply.record === null) return [];
   const current = currentAttempt(reply.record);
   return current === null || current.id === attempt.id ? [] : [current];
 }
 
-export function yieldToStanding(turn: Turn, attempt: Attempt): void {
-  const { drive } = turn;
-  drive.neverRan.add(attempt.id);
-  drive.over.add(attempt.id);
+/** Abandons an attempt that was never dispatched, and continues with the one the holders have. */
+export function abandonForCompeting(turn: Turn, attempt: Attempt): void {
+  const { machine } = turn;
+  machine.neverRan.add(attempt.id);
+  machine.over.add(attempt.id);
   settleLoneRun(turn, attempt, LoneRunEnd.Aborted);
-  drive.attempt = null;
-  const attempts = drive.known.attempts.filter((other) => other.id !== attempt.id);
-  drive.known = { ...drive.known, attempts };
-  decide(turn);
+  machine.attempt = null;
+  const attempts = machine.known.attempts.filter((other) => other.id !== attempt.id);
+  machine.known = { ...machine.known, attempts };
+  startNextStep(turn);
 }
 
 /**
- * An answer is known: makes every holder have it, then have it as committed, then tells it. Holders
- * that know another answer bring it in with their replies, and the joined one is tried again.
+ * Stores a known answer on every holder, then marks it as committed on every holder, then delivers
+ * it. If a holder replies with a different answer, the merged answer is tried in another round.
  */
-export function reconcile(turn: Turn, answer: Answer): void {
-  const { drive, context } = turn;
+export function reconcileAnswer(turn: Turn, answer: Answer): void {
+  const { machine, context } = turn;
   closeStream(turn);
-  const agreeing = repliesWith(turn, (held) => held.attemptId === answer.attemptId);
+  const agreeing = repliesWithAnswer(turn, (held) => held.attemptId === answer.attemptId);
   const agreed = context.options.mayTellAnswer(agreeing, context.holders());
-  const committed = repliesWith(
+  const committed = repliesWithAnswer(
     turn,
     (held) => held.attemptId === answer.attemptId && held.committedForMs !== null,
   );
@@ -94,27 +98,28 @@
     deliverAnswer(turn, answer);
     return;
   }
-  drive.phase = DrivePhase.Reconciling;
-  drive.reconcileCount += 1;
-  if (drive.reconcileCount > context.options.holderRounds) {
-    drive.pendingFailure = RECORDS_UNREACHABLE.of({ service: drive.request.service });
-    drive.pendingRetryAfterMs = context.options.retryAfterMs;
-    return tellRefusal(turn, RunState.Ran);
+  machine.phase = DrivePhase.Reconciling;
+  machine.reconcileCount += 1;
+  if (machine.reconcileCount > context.options.maxHolderWaits) {
+    machine.pendingFailure = RECORDS_UNREACHABLE.of({ service: machine.request.service });
+    machine.pendingRetryAfterMs = context.options.retryAfterMs;
+    return sendRefusal(turn, RunState.Ran);
   }
-  if (agreed) drive.known = { ...drive.known, answer: { ...answer, committedForMs: 0 } };
-  beginRound(turn, { kind: HolderCallKind.Restore, record: drive.known });
+  if (agreed) machine.known = { ...machine.known, answer: { ...answer, committedForMs: 0 } };
+  beginRound(turn, { kind: HolderCallKind.Restore, record: machine.known });
 }
 
-export function repliesWith(
+/** Returns the replies whose record has an answer that satisfies `matchesAnswer`, each as done. */
+export function repliesWithAnswer(
   turn: Turn,
-  holdsAnswer: (answer: Answer) => boolean,
+  matchesAnswer: (answer: Answer) => boolean,
 ): ReadonlyMap<string, HolderReply> {
-  const found = new Map<string, HolderReply>();
-  for (const [member, reply] of turn.drive.round?.replies ?? []) {
+  const matchingReplies = new Map<string, HolderReply>();
+  for (const [member, reply] of turn.machine.round?.replies ?? []) {
     const answer = reply.record?.answer ?? null;
-    if (answer !== null && holdsAnswer(answer)) {
-      found.set(member, { ...reply, kind: HolderReplyKind.Done });
+    if (answer !== null && matchesAnswer(answer)) {
+      matchingReplies.set(member, { ...reply, kind: HolderReplyKind.Done });
     }
   }
-  return found;
+  return matchingReplies;
 }
--- a/packages/coordination/src/core/records/drive-attempts.ts
+++ b/packages/coordination/src/core/records/drive-attempts.ts
@@ -1,18 +1,19 @@
 /**
- * Attempts of the request machine: what to do next, from what is known; preparing an attempt
- * (place, session, claim, note), dispatching it, attaching to one that runs, and its end.
+ * Attempts of the request machine: chooses the next step from the state of the request, prepares an
+ * attempt (target, session, claim, recording it on the holders), dispatches it, attaches to a
+ * running one, and handles its end.
  */
 import { EventKind } from '../events/event.js';
 import { CONVICTING_CRASHES } from '../poison/ledger.js';
 import { backOffMs } from '../retries/retries.js';
-import { closeStream, forgetUntold } from './drive-delivery.js';
+import { closeStream, discardUnsentTokens } from './drive-delivery.js';
 import {
-  abandonPrepared,
+  abandonPreparedAttempt,
   convict,
   refuse,
   settleLoneRun,
-  someMayHaveRun,
-  tellFinalFailure,
+  anyAttemptMayHaveRun,
+  sendFinalFailure,
 } from './drive-refusals.js';
 import { beginRound } from './drive-rounds.js';
 import { emit, nextId, remainingMs, setTimer } from './drive-support.js';
@@ -25,131 +26,133 @@
 import { HolderCallKind } from './messages.js';
 import { currentAttempt } from './record.js';
 import type { Attempt } from './record.js';
-import { answerStands, reconcile } from './drive-agreement.js';
+import { isAnswerUsable, reconcileAnswer } from './drive-agreement.js';
 
-/** Losses of targets without a sign of a crash after which the request runs alone as well. */
-const LOSSES_THAT_SUSPECT = 2;
+/** Number of lost targets, without a crash report, after which the request is run alone. */
+const SUSPECT_AFTER_LOSSES = 2;
 
 /**
- * Guards a call that may not be repeated. Failure: its target dies and the entry tries another; it
- * shows as a receipt issued twice. The guard holds because an attempt that may have run is never
- * followed by another one, and its claim is not replaced.
+ * Returns whether another attempt may follow. A call that may not be repeated gets no other
+ * attempt, and its claim is not replaced, once an attempt may have run. Otherwise the entry would
+ * try another target after one dies, and the effects of the call, such as issuing a receipt, could
+ * happen twice.
  */
 export function mayRunAgain(repeatable: boolean, mayHaveRun: boolean): boolean {
   return repeatable || !mayHaveRun;
 }
 
-/** Takes the next step from what is known of the request. */
-export function decide(turn: Turn): void {
-  const { drive, context } = turn;
-  const { answer, failure } = drive.known;
-  const current = currentAttempt(drive.known);
-  if (answer !== null && answerStands(turn, answer)) return reconcile(turn, answer);
-  if (failure !== null) return tellFinalFailure(turn, failure);
-  if (current !== null && !drive.over.has(current.id)) {
+/** Chooses and starts the next step from the state of the request. */
+export function startNextStep(turn: Turn): void {
+  const { machine, context } = turn;
+  const { answer, failure } = machine.known;
+  const current = currentAttempt(machine.known);
+  if (answer !== null && isAnswerUsable(turn, answer)) return reconcileAnswer(turn, answer);
+  if (failure !== null) return sendFinalFailure(turn, failure);
+  if (current !== null && !machine.over.has(current.id)) {
     if (context.isLive(current.sidecar)) return attachTo(turn, current);
-    drive.over.add(current.id);
-    drive.lossCount += 1;
+    machine.over.add(current.id);
+    machine.lossCount += 1;
   }
-  if (answer !== null) return reconcile(turn, answer);
-  runAgain(turn);
+  if (answer !== null) return reconcileAnswer(turn, answer);
+  startNextAttempt(turn);
 }
 
-function runAgain(turn: Turn): void {
-  const { drive, context } = turn;
-  const { service, repeatable } = drive.request;
-  const mayHaveRun = someMayHaveRun(turn);
+function startNextAttempt(turn: Turn): void {
+  const { machine, context } = turn;
+  const { service, repeatable } = machine.request;
+  const mayHaveRun = anyAttemptMayHaveRun(turn);
   if (!context.options.mayRunAgain(repeatable, mayHaveRun)) {
     return refuse(turn, OUTCOME_UNKNOWN.of({ service }), context.options.retryAfterMs);
   }
-  const { crashedAttemptIds } = drive.known;
+  const { crashedAttemptIds } = machine.known;
   if (context.options.isConvicted({ crashedAttemptIds, lostAttemptIds: [] })) {
     return convict(turn, crashedAttemptIds.length);
   }
   if (remainingMs(turn) === 0) {
     return refuse(turn, DEADLINE_PASSED.of({ service }), context.options.retryAfterMs);
   }
-  const attempts = drive.known.attempts.length;
-  if (attempts === 0) return prepare(turn);
+  const attempts = machine.known.attempts.length;
+  if (attempts === 0) return prepareAttempt(turn);
   if (!mayRetry(turn)) {
     return refuse(turn, TRIES_SPENT.of({ service, attempts }), context.options.retryAfterMs);
   }
-  drive.retryCount += 1;
-  backOff(turn, backOffMs(drive.retryCount, context.options.retry, context.random));
+  machine.retryCount += 1;
+  backOff(turn, backOffMs(machine.retryCount, context.options.retry, context.random));
 }
 
-/** A text that the caller has begun to read is gone on with even when the budget is spent. */
+/** Returns whether to try again. Continuing a partly generated text needs no retry budget. */
 function mayRetry(turn: Turn): boolean {
-  const { drive, context } = turn;
+  const { machine, context } = turn;
   const { retry, withdrawRetry } = context.options;
-  if (drive.retryCount + 1 >= retry.maxAttempts) return false;
-  if (drive.known.attempts.length >= retry.maxRecordAttempts) return false;
-  return drive.tokens.length > 0 || withdrawRetry(context.budget);
+  if (machine.retryCount + 1 >= retry.maxAttempts) return false;
+  if (machine.known.attempts.length >= retry.maxRecordAttempts) return false;
+  return machine.tokens.length > 0 || withdrawRetry(context.budget);
 }
 
-/** Waits before the next attempt is prepared. */
+/** Starts the wait before the next attempt is prepared. */
 export function backOff(turn: Turn, afterMs: number): void {
-  turn.drive.phase = DrivePhase.BackingOff;
-  turn.drive.round = null;
+  turn.machine.phase = DrivePhase.BackingOff;
+  turn.machine.round = null;
   setTimer(turn, DriveTimer.BackOff, afterMs);
 }
 
 /**
- * Asks where the next attempt may run. Leaves the last round: a late reply must not bring in
- * another attempt, over which this one would be noted although that one runs.
+ * Requests admission, or a lone run, for the next attempt. Ends the previous round first: a late
+ * reply could otherwise add a running attempt to the known state, and the new attempt would be
+ * recorded as its successor.
  */
-export function prepare(turn: Turn): void {
-  const { drive, context } = turn;
-  const current = currentAttempt(drive.known);
-  if (current !== null && !drive.over.has(current.id)) return decide(turn);
+export function prepareAttempt(turn: Turn): void {
+  const { machine, context } = turn;
+  const current = currentAttempt(machine.known);
+  if (current !== null && !machine.over.has(current.id)) return startNextStep(turn);
   const suspicion = context.suspicion();
   if (suspicion === Suspicion.Unread) return backOff(turn, context.options.reattachAfterMs);
   if (suspicion === Suspicion.Convicted) return convict(turn, CONVICTING_CRASHES);
-  drive.round = null;
-  drive.askId = nextId(drive);
+  machine.round = null;
+  machine.askId = nextId(machine);
   if (needsLoneRun(turn)) {
-    drive.phase = DrivePhase.AwaitingLoneRun;
-    const attemptId = attemptIdOf(drive);
-    turn.out.push({ kind: DriveEffectKind.AskLoneRun, askId: drive.askId, attemptId });
+    machine.phase = DrivePhase.AwaitingLoneRun;
+    const attemptId = attemptIdOf(machine);
+    turn.out.push({ kind: DriveEffectKind.AskLoneRun, askId: machine.askId, attemptId });
     return;
   }
-  drive.phase = DrivePhase.AwaitingAdmission;
+  machine.phase = DrivePhase.AwaitingAdmission;
   turn.out.push({
     kind: DriveEffectKind.AskAdmission,
-    askId: drive.askId,
-    avoidTargets: drive.avoidTargets,
+    askId: machine.askId,
+    avoidTargets: machine.avoidTargets,
   });
 }
 
 function needsLoneRun(turn: Turn): boolean {
-  const { drive, context } = turn;
-  if (drive.isSuspect || drive.known.crashedAttemptIds.length > 0) return true;
-  return drive.lossCount >= LOSSES_THAT_SUSPECT || context.suspicion() === Suspicion.Suspect;
+  const { machine, context } = turn;
+  if (machine.isSuspect || machine.known.crashedAttemptIds.length > 0) return true;
+  return machine.lossCount >= SUSPECT_AFTER_LOSSES || context.suspicion() === Suspicion.Suspect;
 }
 
-function attemptIdOf(drive: RequestDrive): string {
-  return `${drive.id}/${String(drive.askId)}`;
+function attemptIdOf(machine: RequestDrive): string {
+  return `${machine.id}/${String(machine.askId)}`;
 }
 
-/** A place is given: makes sure of a session with its sidecar. */
-export function takePlace(turn: Turn, place: Place, alone: boolean): void {
-  const { drive } = turn;
-  drive.place = place;
-  drive.attempt = makeAttempt(turn, place, alone);
-  drive.phase = DrivePhase.OpeningSession;
-  const verify = !drive.request.repeatable;
-  const { askId } = drive;
+/** Creates an attempt for the admitted target and opens a session at its sidecar. */
+export function openSessionFor(turn: Turn, place: Place, alone: boolean): void {
+  const { machine } = turn;
+  machine.place = place;
+  machine.attempt = makeAttempt(turn, place, alone);
+  machine.phase = DrivePhase.OpeningSession;
+  const verify = !machine.request.repeatable;
+  const { askId } = machine;
   turn.out.push({ kind: DriveEffectKind.OpenSession, askId, sidecar: place.sidecar, verify });
 }
 
 function makeAttempt(turn: Turn, place: Place, alone: boolean): Attempt {
-  const { drive, context } = turn;
+  const { machine, context } = turn;
   return {
-    id: attemptIdOf(drive),
-    number: (currentAttempt(drive.known)?.number ?? 0) + 1,
+    id: attemptIdOf(machine),
+    number: (currentAttempt(machine.known)?.number ?? 0) + 1,
     sidecar: place.sidecar,
     target: place.target,
-    startIndex: drive.tokens.length,
+    startIndex: machine.tokens.length,
     entry: context.entryId,
     sessionId: '',
     sequence: 0,
@@ -157,69 +160,70 @@
   };
 }
 
-/** The session is there: claims the call where it may not be repeated, else notes the attempt. */
-export function takeSession(turn: Turn, sessionId: string, sequence: number): void {
-  const { drive, context } = turn;
-  if (drive.attempt === null) return;
-  drive.attempt = { ...drive.attempt, sessionId, sequence };
-  if (drive.attempt.alone && !isGivenBy(drive.loneIncarnation, sessionId)) {
-    settleLoneRun(turn, drive.attempt, LoneRunEnd.Aborted);
+/** Claims a call that may not be repeated; otherwise records the attempt on the holders. */
+export function onSessionOpened(turn: Turn, sessionId: string, sequence: number): void {
+  const { machine, context } = turn;
+  if (machine.attempt === null) return;
+  machine.attempt = { ...machine.attempt, sessionId, sequence };
+  if (machine.attempt.alone && !isIssuedBy(machine.loneRunIncarnation, sessionId)) {
+    settleLoneRun(turn, machine.attempt, LoneRunEnd.Aborted);
     backOff(turn, context.options.reattachAfterMs);
     return;
   }
-  if (drive.request.repeatable) {
+  if (machine.request.repeatable) {
     noteAttempt(turn);
     return;
   }
-  drive.phase = DrivePhase.Claiming;
-  const { askId, attempt } = drive;
-  const current = currentAttempt(drive.known);
+  machine.phase = DrivePhase.Claiming;
+  const { askId, attempt } = machine;
+  const current = currentAttempt(machine.known);
   const mayReplace =
-    current !== null && context.options.mayRunAgain(false, !drive.neverRan.has(current.id));
+    current !== null && context.options.mayRunAgain(false, !machine.neverRan.has(current.id));
   const replacesId = mayReplace ? current.id : null;
   turn.out.push({ kind: DriveEffectKind.TakeClaim, askId, attempt, replacesId });
 }
 
 /**
- * Guards the one lone run of a service. Failure: it was written for a sidecar that has restarted
- * since; others, told that it is gone, begin theirs. The guard holds because it is dispatched only
- * to the incarnation that it was written for.
+ * Returns whether a session was issued by the sidecar incarnation that the lone run was granted
+ * for. Only one lone run of a service may exist at a time. If the sidecar has restarted since the
+ * grant, the run is reported as gone and another one may start, so it must not be dispatched to the
+ * new incarnation.
  */
-function isGivenBy(incarnation: string, sessionId: string): boolean {
+function isIssuedBy(incarnation: string, sessionId: string): boolean {
   return sessionId.startsWith(`${incarnation}.`);
 }
 
-/** Notes the prepared attempt at all holders. */
+/** Adds the prepared attempt to the record on all holders. */
 export function noteAttempt(turn: Turn): void {
-  const { drive } = turn;
-  if (drive.attempt === null) return;
-  drive.phase = DrivePhase.Noting;
-  const previousId = currentAttempt(drive.known)?.id ?? null;
-  const { attempt, known } = drive;
+  const { machine } = turn;
+  if (machine.attempt === null) return;
+  machine.phase = DrivePhase.Noting;
+  const previousId = currentAttempt(machine.known)?.id ?? null;
+  const { attempt, known } = machine;
   beginRound(turn, { kind: HolderCallKind.Note, record: known, attempt, previousId });
 }
 
 /**
- * All holders have the attempt: hands it to its sidecar, unless its content was convicted while it
- * was prepared.
+ * Dispatches the attempt to its sidecar once all holders have recorded it, unless its content was
+ * convicted in the meantime.
  */
-export function dispatch(turn: Turn): void {
-  const { drive, context } = turn;
-  if (drive.attempt === null) return;
+export function dispatchAttempt(turn: Turn): void {
+  const { machine, context } = turn;
+  if (machine.attempt === null) return;
   if (context.suspicion() === Suspicion.Convicted) {
-    abandonPrepared(turn);
+    abandonPreparedAttempt(turn);
     return convict(turn, CONVICTING_CRASHES);
   }
-  drive.round = null;
-  const { attempt, known } = drive;
-  drive.textAttemptId = attempt.id;
+  machine.round = null;
+  const { attempt, known } = machine;
+  machine.textAttemptId = attempt.id;
   openConnection(turn);
   turn.out.push({
     kind: DriveEffectKind.Dispatch,
-    connectionId: drive.connectionId,
+    connectionId: machine.connectionId,
     attempt,
     record: known,
-    continueFrom: drive.tokens.slice(),
+    continueFrom: machine.tokens.slice(),
     remainingMs: remainingMs(turn),
   });
   const isFirst = attempt.number === 1;
@@ -231,48 +235,49 @@
 }
 
 /**
- * Joins an attempt that runs. Unless the present text is known to be the beginning of the attempt's,
- * it is read from its first token and compared: reading on from the middle would splice two texts.
+ * Attaches to a running attempt. If the text received so far is not known to be the beginning of
+ * the attempt's text, the stream is read from its first token and compared; attaching in the middle
+ * could splice two different texts.
  */
 export function attachTo(turn: Turn, attempt: Attempt): void {
-  const { drive } = turn;
-  if (drive.attempt?.id !== attempt.id) {
-    drive.reattachCount = 0;
-    forgetUntold(turn);
+  const { machine } = turn;
+  if (machine.attempt?.id !== attempt.id) {
+    machine.reattachCount = 0;
+    discardUnsentTokens(turn);
     emit(turn, EventKind.RequestResumed, 'an attempt of this key runs already', {
       target: attempt.target,
     });
   }
-  const fromIndex = drive.textAttemptId === attempt.id ? drive.tokens.length : 0;
-  drive.attempt = attempt;
+  const fromIndex = machine.textAttemptId === attempt.id ? machine.tokens.length : 0;
+  machine.attempt = attempt;
   openConnection(turn);
-  const { connectionId, known } = drive;
+  const { connectionId, known } = machine;
   turn.out.push({ kind: DriveEffectKind.Attach, connectionId, attempt, record: known, fromIndex });
 }
 
 function openConnection(turn: Turn): void {
-  const { drive } = turn;
+  const { machine } = turn;
   closeStream(turn);
-  drive.round = null;
-  drive.phase = DrivePhase.Streaming;
-  drive.isOpen = false;
-  drive.connectionId = nextId(drive);
+  machine.round = null;
+  machine.phase = DrivePhase.Streaming;
+  machine.isOpen = false;
+  machine.connectionId = nextId(machine);
 }
 
-/** An attempt is over without an answer: goes on with the next, or gives up. */
-export function attemptOver(
+/** Ends an attempt that produced no answer, then starts the next one or gives up. */
+export function endAttempt(
   turn: Turn,
   mayHaveRun: boolean,
   loneRunEnd: LoneRunEnd = LoneRunEnd.Aborted,
 ): void {
-  const { drive } = turn;
-  const { attempt } = drive;
+  const { machine } = turn;
+  const { attempt } = machine;
   if (attempt === null) return;
   closeStream(turn);
-  drive.over.add(attempt.id);
-  drive.avoidTargets = [...new Set([...drive.avoidTargets, attempt.target])];
-  if (!mayHaveRun) drive.neverRan.add(attempt.id);
-  const crashed = drive.known.crashedAttemptIds.includes(attempt.id);
+  machine.over.add(attempt.id);
+  machine.avoidTargets = [...new Set([...machine.avoidTargets, attempt.target])];
+  if (!mayHaveRun) machine.neverRan.add(attempt.id);
+  const crashed = machine.known.crashedAttemptIds.includes(attempt.id);
   settleLoneRun(turn, attempt, crashed ? LoneRunEnd.Crashed : loneRunEnd);
-  decide(turn);
+  startNextStep(turn);
 }
--- a/packages/coordination/src/core/records/drive-delivery.ts
+++ b/packages/coordination/src/core/records/drive-delivery.ts
@@ -1,6 +1,7 @@
 /**
- * Delivery to the caller: the text grows only at its end, each event's id names the text so far,
- * and what a caller has read stays true. Text that does not follow from it is never sent.
+ * Delivers tokens and the end of the answer to the caller. Text is only appended, the id of each
+ * event identifies the text up to it, and text that does not continue what the caller has received
+ * is never sent.
  */
 import { EventKind } from '../events/event.js';
 import { RunState } from '../model/outcome.js';
@@ -18,17 +19,17 @@
 /** Hash of the empty text. */
 export const EMPTY_TEXT_HASH = 0;
 
-/** Hash of a text that is one token longer. */
+/** Returns the hash of a text after appending one token. */
 export function extendHash(hash32: Hash32, hash: number, token: string): number {
   return hash32(`${String(hash)}/${token}`);
 }
 
-/** The id of the event after which a caller has `index` tokens. */
+/** Returns the id of the event after which a caller has received `index` tokens. */
 export function eventIdOf(index: number, hash: number): string {
   return `${String(index)}-${String(hash)}`;
 }
 
-/** Reads a caller's Last-Event-ID; null when it is none of ours. */
+/** Parses a caller's Last-Event-ID; returns null if it does not have the format of an event id. */
 export function parseEventId(text: string): ResumePoint | null {
   const match = EVENT_ID.exec(text);
   if (match === null) return null;
@@ -36,9 +37,9 @@
 }
 
 /**
- * Guards against a second half from another text, or one token twice. Failure: a stream is taken up
- * at a wrong place, or an overlap differs; it shows as a garbled finding. The guard holds because
- * tokens are taken only where they continue the known ones, and an overlap must be equal.
+ * Accepts tokens only if they leave no gap after the known ones and if the overlap is equal.
+ * Without this check, a stream that resumes at the wrong index or belongs to another text would
+ * garble the answer or repeat tokens.
  */
 export const fitsAnswer: FitsAnswer = (known, index, tokens) => {
   if (index > known.length) return false;
@@ -50,63 +51,66 @@
 };
 
 /**
- * Guards a caller that returns. Failure: everything that held its first half has died and the rerun
- * made another text; it shows as two halves that do not belong together. The guard holds because
- * the id that the caller brings is a hash of all that it has read.
+ * Accepts a resuming caller only if the hash in its event id equals the hash of the text at that
+ * index. If all processes that had the first part of the text have died, a rerun may generate a
+ * different text, and the caller would receive two parts that do not belong together.
  */
 export const matchesResume: MatchesResume = (resume, hashAtIndex) => resume.hash === hashAtIndex;
 
-/** Takes tokens from a stream; false when they do not follow from what is known. */
-export function takeTokens(turn: Turn, index: number, tokens: readonly string[]): boolean {
-  const { drive, context } = turn;
-  if (!context.options.fitsAnswer(drive.tokens, index, tokens)) return false;
-  for (const token of tokens.slice(Math.max(0, drive.tokens.length - index))) {
-    const hash = extendHash(context.hash32, drive.hashes.at(-1) ?? EMPTY_TEXT_HASH, token);
-    drive.tokens.push(token);
-    drive.hashes.push(hash);
+/** Appends tokens of a stream; returns false if they do not continue the known tokens. */
+export function appendTokens(turn: Turn, index: number, tokens: readonly string[]): boolean {
+  const { machine, context } = turn;
+  if (!context.options.fitsAnswer(machine.tokens, index, tokens)) return false;
+  for (const token of tokens.slice(Math.max(0, machine.tokens.length - index))) {
+    const hash = extendHash(context.hash32, machine.hashes.at(-1) ?? EMPTY_TEXT_HASH, token);
+    machine.tokens.push(token);
+    machine.hashes.push(hash);
   }
-  tellNews(turn);
+  sendNewTokens(turn);
   return true;
 }
 
-/** Takes a whole answer and tells the rest of it and its end. */
+/** Delivers the rest of a complete answer and its end. */
 export function deliverAnswer(turn: Turn, answer: Answer): void {
-  forgetUntold(turn);
-  const fits = takeTokens(turn, 0, answer.tokens);
-  if (turn.drive.phase === DrivePhase.Done) return;
-  if (fits && turn.drive.tokens.length === answer.tokens.length) deliverEnd(turn, answer.ending);
-  else tellDiverged(turn);
+  discardUnsentTokens(turn);
+  const fits = appendTokens(turn, 0, answer.tokens);
+  if (turn.machine.phase === DrivePhase.Done) return;
+  if (fits && turn.machine.tokens.length === answer.tokens.length) deliverEnd(turn, answer.ending);
+  else refuseDivergedText(turn);
 }
 
-/** Tells the end of an answer whose tokens are all known. */
+/** Delivers the end of an answer whose tokens are all known. */
 export function deliverEnd(turn: Turn, ending: AnswerEnding): void {
-  const { drive } = turn;
-  if (drive.tokens.length < resumeIndex(drive) || !resumeHolds(turn)) {
-    tellDiverged(turn);
+  const { machine } = turn;
+  if (machine.tokens.length < resumeIndex(machine) || !resumePointMatches(turn)) {
+    refuseDivergedText(turn);
     return;
   }
-  const eventId = eventIdOf(drive.tokens.length, drive.hashes.at(-1) ?? EMPTY_TEXT_HASH);
-  if (drive.callerPresent) turn.out.push({ kind: DriveEffectKind.TellAnswer, ending, eventId });
+  const eventId = eventIdOf(machine.tokens.length, machine.hashes.at(-1) ?? EMPTY_TEXT_HASH);
+  if (machine.callerPresent) turn.out.push({ kind: DriveEffectKind.TellAnswer, ending, eventId });
   emit(turn, EventKind.RequestAnswered, 'the answer is whole and recorded', {
-    figures: { tokens: drive.tokens.length, attempts: drive.known.attempts.length },
+    figures: { tokens: machine.tokens.length, attempts: machine.known.attempts.length },
   });
   closeStream(turn);
   finishDrive(turn);
 }
 
-/** Forgets text that the caller has not been sent, so that another attempt's may take its place. */
-export function forgetUntold(turn: Turn): void {
-  const { drive } = turn;
-  const sentHere = drive.toldCount > resumeIndex(drive) ? drive.toldCount : 0;
-  drive.tokens.length = Math.min(drive.tokens.length, sentHere);
-  drive.hashes.length = drive.tokens.length + 1;
+/** Discards tokens not yet sent to the caller, so tokens of another attempt can replace them. */
+export function discardUnsentTokens(turn: Turn): void {
+  const { machine } = turn;
+  const keptCount = machine.sentCount > resumeIndex(machine) ? machine.sentCount : 0;
+  machine.tokens.length = Math.min(machine.tokens.length, keptCount);
+  machine.hashes.length = machine.tokens.length + 1;
 }
 
-/** Refuses since the text that the caller has read cannot be continued. */
-export function tellDiverged(turn: Turn): void {
-  const { drive } = turn;
-  const failure = ANSWER_DIVERGED.of({ service: drive.request.service, index: drive.toldCount });
-  if (drive.callerPresent) {
+/** Ends with a refusal because the text that the caller has received cannot be continued. */
+export function refuseDivergedText(turn: Turn): void {
+  const { machine } = turn;
+  const failure = ANSWER_DIVERGED.of({
+    service: machine.request.service,
+    index: machine.sentCount,
+  });
+  if (machine.callerPresent) {
     turn.out.push({
       kind: DriveEffectKind.TellRefusal,
       failure,
@@ -119,36 +123,39 @@
   finishDrive(turn);
 }
 
-/** Leaves the present stream, which runs on at its sidecar. */
+/** Closes the connection to the current stream, which keeps running at its sidecar. */
 export function closeStream(turn: Turn): void {
-  const { drive } = turn;
+  const { machine } = turn;
   clearTimer(turn, DriveTimer.Reattach);
-  if (drive.connectionId === 0) return;
-  turn.out.push({ kind: DriveEffectKind.CloseStream, connectionId: drive.connectionId });
-  drive.connectionId = 0;
+  if (machine.connectionId === 0) return;
+  turn.out.push({ kind: DriveEffectKind.CloseStream, connectionId: machine.connectionId });
+  machine.connectionId = 0;
 }
 
-function tellNews(turn: Turn): void {
-  const { drive } = turn;
-  if (!drive.callerPresent || drive.tokens.length <= drive.toldCount) return;
-  if (!resumeHolds(turn)) {
-    tellDiverged(turn);
+function sendNewTokens(turn: Turn): void {
+  const { machine } = turn;
+  if (!machine.callerPresent || machine.tokens.length <= machine.sentCount) return;
+  if (!resumePointMatches(turn)) {
+    refuseDivergedText(turn);
     return;
   }
-  const index = drive.toldCount;
-  const tokens = drive.tokens.slice(index);
-  drive.toldCount = drive.tokens.length;
-  const eventId = eventIdOf(drive.toldCount, drive.hashes[drive.toldCount] ?? EMPTY_TEXT_HASH);
+  const index = machine.sentCount;
+  const tokens = machine.tokens.slice(index);
+  machine.sentCount = machine.tokens.length;
+  const eventId = eventIdOf(
+    machine.sentCount,
+    machine.hashes[machine.sentCount] ?? EMPTY_TEXT_HASH,
+  );
   turn.out.push({ kind: DriveEffectKind.TellTokens, index, tokens, eventId });
 }
 
-function resumeHolds(turn: Turn): boolean {
-  const { resume } = turn.drive.request;
+function resumePointMatches(turn: Turn): boolean {
+  const { resume } = turn.machine.request;
   if (resume === null) return true;
-  const hash = turn.drive.hashes[resume.index];
+  const hash = turn.machine.hashes[resume.index];
   return hash === undefined || turn.context.options.matchesResume(resume, hash);
 }
 
-function resumeIndex(drive: RequestDrive): number {
-  return drive.request.resume?.index ?? 0;
+function resumeIndex(machine: RequestDrive): number {
+  return machine.request.resume?.index ?? 0;
 }
--- a/packages/coordination/src/core/records/drive-messages.ts
+++ b/packages/coordination/src/core/records/drive-messages.ts
@@ -1,5 +1,5 @@
 /**
- * What the request machine of an entry is told, and what it asks to be done.
+ * Events that the request machine of an entry handles, and effects that it returns for execution.
  */
 import type { UnstampedEvent } from '../events/event.js';
 import type { Failure } from '../failures/failure.js';
@@ -15,7 +15,7 @@
 } from './messages.js';
 import type { AnswerEnding, Attempt, RequestRecord } from './record.js';
 
-/** What a machine is told. */
+/** Kinds of events of a request machine. */
 export enum DriveEventKind {
   CallerArrived = 'caller-arrived',
   CallerGone = 'caller-gone',
@@ -36,7 +36,7 @@
   TimerFired = 'timer-fired',
 }
 
-/** One thing that a machine is told. */
+/** Input of a request machine. */
 export type DriveEvent =
   | { readonly kind: DriveEventKind.CallerArrived }
   | { readonly kind: DriveEventKind.CallerGone }
@@ -47,7 +47,7 @@
       readonly reply: HolderReply;
     }
   | {
-      /** A holder could not be reached, or its answer is lost for certain. */
+      /** A holder could not be reached, or its reply is known to be lost. */
       readonly kind: DriveEventKind.HolderFailed;
       readonly roundId: number;
       readonly from: string;
@@ -64,9 +64,9 @@
       readonly kind: DriveEventKind.LoneRunReplied;
       readonly askId: number;
       readonly outcome: LoneRunOutcome;
-      /** With a grant: where it may run, with nothing beside it. */
+      /** Set if granted: where the attempt may run without any other request. */
       readonly place: Place | null;
-      /** Incarnation of the place's sidecar that the lone run is written for. */
+      /** Incarnation of the sidecar that the lone run was granted for. */
       readonly sidecarIncarnation: string;
       readonly crashes: number;
       readonly retryAfterMs: number;
@@ -82,7 +82,9 @@
       readonly kind: DriveEventKind.ClaimReplied;
       readonly askId: number;
       readonly outcome: ClaimOutcome;
-      /** With `held`: the attempt that holds the claim, and its body's hash. */
+      /**
+       * Set if the outcome is `held`: the attempt that holds the claim, and the hash of its body.
+       */
       readonly holder: { readonly attempt: Attempt; readonly bodyHash: string } | null;
       readonly retryAfterMs: number;
     }
@@ -90,7 +92,7 @@
   | {
       readonly kind: DriveEventKind.StreamTokens;
       readonly connectionId: number;
-      /** Position of the first of `tokens` in the whole answer. */
+      /** Index of the first of `tokens` in the complete answer. */
       readonly index: number;
       readonly tokens: readonly string[];
     }
@@ -115,13 +117,13 @@
       readonly timerId: number;
     };
 
-/** What a machine asks to be done. */
+/** Kinds of effects of a request machine. */
 export enum DriveEffectKind {
   CallHolder = 'call-holder',
   AskAdmission = 'ask-admission',
   AskLoneRun = 'ask-lone-run',
   SettleLoneRun = 'settle-lone-run',
-  /** Put a crash into this process's own table of suspicions at once. */
+  /** Adds a crash to this process's own table of suspicions without waiting for the ledger. */
   NoteCrash = 'note-crash',
   OpenSession = 'open-session',
   ForgetSession = 'forget-session',
@@ -137,19 +139,19 @@
   Emit = 'emit',
 }
 
-/** One thing to be done. */
+/** Side effect that the caller of a request machine must execute. */
 export type DriveEffect =
   | {
       readonly kind: DriveEffectKind.CallHolder;
       readonly to: string;
-      /** Comes back in `HolderReplied`. */
+      /** Returned in `HolderReplied` and `HolderFailed`. */
       readonly roundId: number;
       readonly call: HolderCall;
     }
   | {
       readonly kind: DriveEffectKind.AskAdmission;
       readonly askId: number;
-      /** Targets that failed this request; to be avoided where others serve. */
+      /** Targets that failed this request; they are avoided if others can serve it. */
       readonly avoidTargets: readonly string[];
     }
   | {
@@ -166,7 +168,7 @@
       readonly kind: DriveEffectKind.OpenSession;
       readonly askId: number;
       readonly sidecar: string;
-      /** True: ask the sidecar even when a session is at hand. */
+      /** Whether to contact the sidecar even if a session is already known. */
       readonly verify: boolean;
     }
   | { readonly kind: DriveEffectKind.NoteCrash; readonly attemptId: string }
@@ -175,7 +177,7 @@
       readonly kind: DriveEffectKind.TakeClaim;
       readonly askId: number;
       readonly attempt: Attempt;
-      /** Attempt that holds the claim and is known never to run, or null. */
+      /** Attempt that holds the claim and is known to never run, or null. */
       readonly replacesId: string | null;
     }
   | {
@@ -199,7 +201,7 @@
       readonly kind: DriveEffectKind.TellTokens;
       readonly index: number;
       readonly tokens: readonly string[];
-      /** `<number of tokens so far>-<hash of them>`. */
+      /** Formatted as `<number of tokens so far>-<hash of them>`. */
       readonly eventId: string;
     }
   | {
--- a/packages/coordination/src/core/records/drive-refusals.ts
+++ b/packages/coordination/src/core/records/drive-refusals.ts
@@ -1,7 +1,7 @@
 /**
- * How the request machine gives up: at once, with a typed failure, the true run state and the time
- * after which coming back can help. "Not-run" is said only when every attempt is known never to
- * run, the record has been taken back, and nothing can have been forgotten.
+ * Refusals of the request machine. Each carries a typed failure, the run state of the request, and
+ * the delay after which a retry may succeed. The run state is "not-run" only if no attempt can ever
+ * run, the record has been released, and no holder can have lost an earlier attempt.
  */
 import { EventKind } from '../events/event.js';
 import type { Failure } from '../failures/failure.js';
@@ -17,30 +17,32 @@
 import { currentAttempt } from './record.js';
 import type { Attempt } from './record.js';
 
-/** Refuses; where nothing can have run, takes the record back first, so that it stays true. */
+/**
+ * Refuses the request. If nothing can have run, releases the record first so "not-run" stays true.
+ */
 export function refuse(turn: Turn, failure: Failure, retryAfterMs: number): void {
-  const { drive } = turn;
-  drive.pendingFailure = failure;
-  drive.pendingRetryAfterMs = retryAfterMs;
-  if (someMayHaveRun(turn)) {
-    tellRefusal(turn, runStateOf(turn));
+  const { machine } = turn;
+  machine.pendingFailure = failure;
+  machine.pendingRetryAfterMs = retryAfterMs;
+  if (anyAttemptMayHaveRun(turn)) {
+    sendRefusal(turn, runStateOf(turn));
     return;
   }
-  drive.phase = DrivePhase.Releasing;
-  const { keyText, creationId } = drive.known;
+  machine.phase = DrivePhase.Releasing;
+  const { keyText, creationId } = machine.known;
   beginRound(turn, { kind: HolderCallKind.Release, keyText, creationId });
 }
 
-/** Ends with the refusal that is pending. */
-export function tellRefusal(turn: Turn, runState: RunState): void {
-  const { drive } = turn;
-  const failure = drive.pendingFailure;
+/** Sends the pending refusal to the caller and ends the machine. */
+export function sendRefusal(turn: Turn, runState: RunState): void {
+  const { machine } = turn;
+  const failure = machine.pendingFailure;
   const round = roundFigures(turn);
-  if (failure !== null && drive.callerPresent) {
-    const retryAfterMs = drive.pendingRetryAfterMs;
+  if (failure !== null && machine.callerPresent) {
+    const retryAfterMs = machine.pendingRetryAfterMs;
     turn.out.push({ kind: DriveEffectKind.TellRefusal, failure, runState, retryAfterMs });
   }
-  const wasAccepted = drive.known.attempts.length > 0;
+  const wasAccepted = machine.known.attempts.length > 0;
   const kind = wasAccepted ? EventKind.RequestFailed : EventKind.RequestRefused;
   emit(turn, kind, failure?.message ?? 'given up', {
     figures: { runState, ...round },
@@ -49,61 +51,62 @@
   finishDrive(turn);
 }
 
-/** Whether some attempt may have run, as far as is known. */
-export function someMayHaveRun(turn: Turn): boolean {
-  const { drive } = turn;
-  return drive.known.attempts.some((attempt) => !drive.neverRan.has(attempt.id));
+/** Returns whether any known attempt may have run. */
+export function anyAttemptMayHaveRun(turn: Turn): boolean {
+  const { machine } = turn;
+  return machine.known.attempts.some((attempt) => !machine.neverRan.has(attempt.id));
 }
 
-/** The true run state, in doubt `unknown`. */
+/** Returns the run state of the request, or `unknown` if it cannot be determined. */
 export function runStateOf(turn: Turn): RunState {
-  const { drive, context } = turn;
-  if (someMayHaveRun(turn)) {
-    const current = currentAttempt(drive.known);
-    const runs = current !== null && !drive.over.has(current.id) && context.isLive(current.sidecar);
-    return runs ? RunState.Running : RunState.Unknown;
+  const { machine, context } = turn;
+  if (anyAttemptMayHaveRun(turn)) {
+    const current = currentAttempt(machine.known);
+    const isRunning =
+      current !== null && !machine.over.has(current.id) && context.isLive(current.sidecar);
+    return isRunning ? RunState.Running : RunState.Unknown;
   }
-  return context.provesAbsence([...drive.absentAt]) ? RunState.NotRun : RunState.Unknown;
+  return context.provesAbsence([...machine.absentAt]) ? RunState.NotRun : RunState.Unknown;
 }
 
-/** Writes the conviction to the holders, then tells it: the same content is not run again. */
+/** Stores the conviction on the holders before it is sent, so the same content is not run again. */
 export function convict(turn: Turn, crashes: number): void {
-  const { drive } = turn;
-  const failure = POISONED_REQUEST.of({ service: drive.request.service, crashes });
-  drive.pendingFailure = failure;
-  drive.phase = DrivePhase.Convicting;
+  const { machine } = turn;
+  const failure = POISONED_REQUEST.of({ service: machine.request.service, crashes });
+  machine.pendingFailure = failure;
+  machine.phase = DrivePhase.Convicting;
   emit(turn, EventKind.RequestConvicted, failure.message, { figures: { crashes } });
-  beginRound(turn, { kind: HolderCallKind.Finish, record: drive.known, answer: null, failure });
+  beginRound(turn, { kind: HolderCallKind.Finish, record: machine.known, answer: null, failure });
 }
 
-/** Tells a final failure. */
-export function tellFinalFailure(turn: Turn, failure: Failure): void {
-  const { drive } = turn;
-  const runState = someMayHaveRun(turn) ? RunState.Unknown : runStateOf(turn);
-  if (drive.callerPresent) {
+/** Sends a final failure to the caller and ends the machine. */
+export function sendFinalFailure(turn: Turn, failure: Failure): void {
+  const { machine } = turn;
+  const runState = anyAttemptMayHaveRun(turn) ? RunState.Unknown : runStateOf(turn);
+  if (machine.callerPresent) {
     turn.out.push({ kind: DriveEffectKind.TellRefusal, failure, runState, retryAfterMs: null });
   }
   closeStream(turn);
   finishDrive(turn);
 }
 
-/** Gives up an attempt that was prepared and never dispatched: it never runs. */
-export function abandonPrepared(turn: Turn): void {
-  const { drive } = turn;
-  const isPrepared = drive.phase === DrivePhase.Claiming || drive.phase === DrivePhase.Noting;
-  if (!isPrepared || drive.attempt === null) return;
-  drive.neverRan.add(drive.attempt.id);
-  drive.over.add(drive.attempt.id);
-  settleLoneRun(turn, drive.attempt, LoneRunEnd.Aborted);
+/** Abandons an attempt that was prepared but not dispatched, and therefore never runs. */
+export function abandonPreparedAttempt(turn: Turn): void {
+  const { machine } = turn;
+  const isPrepared = machine.phase === DrivePhase.Claiming || machine.phase === DrivePhase.Noting;
+  if (!isPrepared || machine.attempt === null) return;
+  machine.neverRan.add(machine.attempt.id);
+  machine.over.add(machine.attempt.id);
+  settleLoneRun(turn, machine.attempt, LoneRunEnd.Aborted);
 }
 
-/** Tells the ledger how a lone run of this machine ended. */
+/** Reports the end of a lone run of this machine to the poison ledger. */
 export function settleLoneRun(turn: Turn, attempt: Attempt, end: LoneRunEnd): void {
-  if (!attempt.alone || !isOwn(turn, attempt)) return;
+  if (!attempt.alone || !isOwnAttempt(turn, attempt)) return;
   turn.out.push({ kind: DriveEffectKind.SettleLoneRun, attemptId: attempt.id, end });
 }
 
-/** Whether this machine made the attempt. */
-export function isOwn(turn: Turn, attempt: Attempt): boolean {
-  return attempt.id.startsWith(`${turn.drive.id}/`);
+/** Returns whether this machine created the attempt. */
+export function isOwnAttempt(turn: Turn, attempt: Attempt): boolean {
+  return attempt.id.startsWith(`${turn.machine.id}/`);
 }
--- a/packages/coordination/src/core/records/drive-rounds.ts
+++ b/packages/coordination/src/core/records/drive-rounds.ts
@@ -1,7 +1,7 @@
 /**
- * Rounds of the request machine: one question put to every present holder until all have answered.
- * Calls are idempotent, so an unanswered holder is simply asked again; when the members change, the
- * round goes on with the new holders.
+ * Rounds of the request machine. A round sends one call to every current holder and lasts until all
+ * of them have replied. Calls are idempotent, so a holder that has not replied can be called again.
+ * When the members change, the round continues with the new holders.
  */
 import { DriveEffectKind } from './drive-messages.js';
 import { DriveTimer } from './drive-types.js';
@@ -11,124 +11,135 @@
 import type { HolderCall, HolderReply } from './messages.js';
 import { joinRecords } from './record.js';
 
-/** Asks all present holders. */
+/** Starts a round that sends a call to all current holders. */
 export function beginRound(turn: Turn, call: HolderCall): void {
-  turn.drive.round = {
-    id: nextId(turn.drive),
+  turn.machine.round = {
+    id: nextId(turn.machine),
     call,
     replies: new Map(),
-    underWay: new Set(),
-    young: new Set(),
+    pending: new Set(),
+    recentlyStarted: new Set(),
   };
-  turn.drive.roundsWaited = 0;
-  askMissing(turn);
-  setTimer(turn, DriveTimer.Holders, turn.context.options.holderTimeoutMs);
+  turn.machine.roundsWaited = 0;
+  callMissingMembers(turn);
+  setTimer(turn, DriveTimer.Holders, turn.context.options.holderWaitMs);
 }
 
 /**
- * Asks those present holders that have neither answered nor been asked. Failure guarded against: a
- * holder that is slow is asked again and again, and the repeats make it slower; it shows as calls that
- * outnumber the requests by hundreds to one, while nobody's request is recorded. The guard holds
- * because a question that is under way is put again only when its repeat is due. A holder that stood
- * still for 4 s under two fifths of its load was asked 19,215 times for 200 requests without it, and
- * less than 600 times with it (virtual time).
+ * Calls the members of the round that have not replied and have no call pending. A pending call is
+ * repeated only when the repeat is due, because repeated calls make a slow holder even slower until
+ * it completes no request at all. In simulated time, a holder that was paused for 4 s at two fifths
+ * of its maximum load received 19,215 calls for 200 requests without this rule, and fewer than 600
+ * with it.
  */
-export function askMissing(turn: Turn): void {
-  const { round } = turn.drive;
+export function callMissingMembers(turn: Turn): void {
+  const { round } = turn.machine;
   if (round === null) return;
-  for (const to of roundTargets(turn)) {
-    if (round.replies.has(to) || round.underWay.has(to)) continue;
-    round.underWay.add(to);
+  for (const to of roundMembers(turn)) {
+    if (round.replies.has(to) || round.pending.has(to)) continue;
+    round.pending.add(to);
     turn.out.push({ kind: DriveEffectKind.CallHolder, to, roundId: round.id, call: round.call });
   }
 }
 
-/** A wait is over: asks whom it could not reach, and now and then who is silent; false at the end. */
-export function waitOn(turn: Turn): boolean {
-  const { drive, context } = turn;
-  const { holderRounds, holderRepeatRounds, holderTimeoutMs } = context.options;
-  drive.roundsWaited += 1;
-  if (drive.round === null || drive.roundsWaited >= holderRounds) return false;
-  if (drive.roundsWaited % holderRepeatRounds === 0) drive.round.underWay.clear();
-  askMissing(turn);
-  setTimer(turn, DriveTimer.Holders, holderTimeoutMs);
+/**
+ * Calls unreachable holders again after a wait, and every `waitsPerHolderRepeat` waits also the
+ * holders that are reachable but have not replied. Returns false if the waits are used up.
+ */
+export function continueRound(turn: Turn): boolean {
+  const { machine, context } = turn;
+  const { maxHolderWaits, waitsPerHolderRepeat, holderWaitMs } = context.options;
+  machine.roundsWaited += 1;
+  if (machine.round === null || machine.roundsWaited >= maxHolderWaits) return false;
+  if (machine.roundsWaited % waitsPerHolderRepeat === 0) machine.round.pending.clear();
+  callMissingMembers(turn);
+  setTimer(turn, DriveTimer.Holders, holderWaitMs);
   return true;
 }
 
-/** A holder that could not be reached is asked again when the wait is over. */
-export function takeFailure(turn: Turn, roundId: number, from: string): void {
-  const { round } = turn.drive;
-  if (round?.id === roundId) round.underWay.delete(from);
+/** Marks a holder as unreachable, so it is called again after the current wait. */
+export function onHolderUnreachable(turn: Turn, roundId: number, from: string): void {
+  const { round } = turn.machine;
+  if (round?.id === roundId) round.pending.delete(from);
 }
 
-/** Young holders in whose place others are asked too; more are a fleet that has just started. */
-const MAX_YOUNG = 4;
+/**
+ * Maximum number of recently started holders for which earlier holders are called too. If more
+ * members have started recently, the whole fleet has just started.
+ */
+const MAX_RECENTLY_STARTED = 4;
 
 /**
- * Members that a round asks: the present holders and, for a new record or attempt, those that held
- * the key before members came that have not been up for long. Failure: both holders are replaced, and a
- * resend finds them empty while a third member still has the record; it shows as a second run and
- * another text. The guard holds because whoever held the record without the new members is asked.
+ * Returns the members that a round calls: the current holders and, for a new record or attempt, the
+ * members that would be holders without the recently started ones. Otherwise, if both holders were
+ * replaced, a resent request would find them empty although a third member still has the record,
+ * and the request would run a second time and produce a different text.
  */
-export function roundTargets(turn: Turn): readonly string[] {
-  const { round } = turn.drive;
+export function roundMembers(turn: Turn): readonly string[] {
+  const { round } = turn.machine;
   const holders = turn.context.holders();
-  if (round === null || round.young.size === 0) return holders;
-  return [...new Set([...holders, ...turn.context.holders(round.young)])];
+  if (round === null || round.recentlyStarted.size === 0) return holders;
+  return [...new Set([...holders, ...turn.context.holders(round.recentlyStarted)])];
 }
 
-function noteYoung(turn: Turn, from: string, reply: HolderReply): void {
-  const { round } = turn.drive;
-  if (round === null || round.young.size >= MAX_YOUNG) return;
+function trackRecentlyStarted(turn: Turn, from: string, reply: HolderReply): void {
+  const { round } = turn.machine;
+  if (round === null || round.recentlyStarted.size >= MAX_RECENTLY_STARTED) return;
   const { kind } = round.call;
   if (kind !== HolderCallKind.Create && kind !== HolderCallKind.Note) return;
-  if (reply.upForMs >= turn.context.options.settleMs || round.young.has(from)) return;
-  round.young.add(from);
-  askMissing(turn);
+  if (reply.upForMs >= turn.context.options.settleMs || round.recentlyStarted.has(from)) return;
+  round.recentlyStarted.add(from);
+  callMissingMembers(turn);
 }
 
-/** Takes one reply; returns whether it belongs to the present round. */
-export function takeReply(turn: Turn, roundId: number, from: string, reply: HolderReply): boolean {
-  const { drive } = turn;
-  if (drive.round?.id !== roundId) return false;
-  drive.round.replies.set(from, reply);
-  noteYoung(turn, from, reply);
-  const isSameBody = reply.record?.bodyHash === drive.request.bodyHash;
-  if (reply.record !== null && isSameBody) drive.known = joinRecords(drive.known, reply.record);
+/** Stores a reply and merges its record; returns whether it belongs to the current round. */
+export function acceptReply(
+  turn: Turn,
+  roundId: number,
+  from: string,
+  reply: HolderReply,
+): boolean {
+  const { machine } = turn;
+  if (machine.round?.id !== roundId) return false;
+  machine.round.replies.set(from, reply);
+  trackRecentlyStarted(turn, from, reply);
+  const isSameBody = reply.record?.bodyHash === machine.request.bodyHash;
+  if (reply.record !== null && isSameBody) machine.known = joinRecords(machine.known, reply.record);
   return true;
 }
 
-/** Whether every present holder has answered, in whatever way. */
+/** Returns whether every member of the round has replied, with any kind of reply. */
 export function roundIsComplete(turn: Turn): boolean {
-  const { round } = turn.drive;
-  const holders = roundTargets(turn);
-  return round !== null && holders.length > 0 && holders.every((id) => round.replies.has(id));
+  const { round } = turn.machine;
+  const members = roundMembers(turn);
+  return round !== null && members.length > 0 && members.every((id) => round.replies.has(id));
 }
 
 /**
- * What a refusal's event says of the round that was under way: its step, how long it has waited, and
- * the holders whose reply is missing. They tell a holder that is silent from one that is slow.
+ * Returns the figures of the current round for the event of a refusal: the phase, the number of
+ * waits, the holders whose reply is missing, and how many of those are dead. The last figure
+ * distinguishes dead holders from slow ones.
  */
 export function roundFigures(turn: Turn): Readonly<Record<string, number | string>> {
-  const { drive, context } = turn;
-  const { round, phase, roundsWaited } = drive;
+  const { machine, context } = turn;
+  const { round, phase, roundsWaited } = machine;
   if (round === null) return { phase };
-  const missing = roundTargets(turn).filter((id) => !round.replies.has(id));
+  const missing = roundMembers(turn).filter((id) => !round.replies.has(id));
   const dead = missing.filter((id) => !context.isLive(id));
   if (missing.length === 0) return { phase };
   return { phase, roundsWaited, missing: missing.join(' '), missingDead: dead.length };
 }
 
-/** Whether some reply of the round is of this kind. */
-export function someReply(turn: Turn, kind: HolderReplyKind): boolean {
-  const replies = turn.drive.round?.replies.values() ?? [];
+/** Returns whether any reply of the round is of the given kind. */
+export function hasReplyOfKind(turn: Turn, kind: HolderReplyKind): boolean {
+  const replies = turn.machine.round?.replies.values() ?? [];
   return [...replies].some((reply) => reply.kind === kind);
 }
 
 /**
- * Guards acceptance, dispatch and the telling of an answer. Failure: one holder dies and the other
- * never had the record; it shows as a resend that runs anew and gets another text. The guard holds
- * because each present holder has acknowledged before the step is taken.
+ * Returns whether every current holder has acknowledged the call, which is required before a
+ * request is accepted, an attempt is dispatched, or an answer is sent. Otherwise the only holder
+ * with the record could die, and a resent request would run again and produce a different text.
  */
 export function allHoldersDone(
   replies: ReadonlyMap<string, HolderReply>,
--- a/packages/coordination/src/core/records/drive-streams.ts
+++ b/packages/coordination/src/core/records/drive-streams.ts
@@ -1,10 +1,10 @@
 /**
- * What the request machine makes of its stream: tokens, the end, and each way to fail.
+ * Handles the events of the stream of an attempt: tokens, the end, and each kind of failure.
  */
 import { EventKind } from '../events/event.js';
-import { attachTo, attemptOver, decide } from './drive-attempts.js';
-import { deliverEnd, takeTokens, tellDiverged } from './drive-delivery.js';
-import { isOwn, refuse, settleLoneRun } from './drive-refusals.js';
+import { attachTo, endAttempt, startNextStep } from './drive-attempts.js';
+import { deliverEnd, appendTokens, refuseDivergedText } from './drive-delivery.js';
+import { isOwnAttempt, refuse, settleLoneRun } from './drive-refusals.js';
 import { emit, setTimer } from './drive-support.js';
 import type { Turn } from './drive-support.js';
 import { DriveEffectKind, DriveEventKind } from './drive-messages.js';
@@ -15,7 +15,7 @@
 import type { StreamEnd, StreamFailure } from './messages.js';
 import { currentAttempt, joinRecords } from './record.js';
 
-/** The events of a stream. */
+/** Events of the stream of an attempt. */
 export type StreamEvent = Extract<
   DriveEvent,
   {
@@ -28,16 +28,16 @@
 >;
 
 /**
- * Takes an event of a stream. Events of a connection that was left are ignored: they may belong to
- * another attempt, whose text must not be mixed with this one's.
+ * Handles a stream event. Events of an abandoned connection are ignored because they may belong to
+ * another attempt, whose text must not be mixed with the current one.
  */
 export function onStreamEvent(turn: Turn, event: StreamEvent): void {
-  const { drive } = turn;
-  if (drive.phase !== DrivePhase.Streaming || drive.connectionId !== event.connectionId) return;
+  const { machine } = turn;
+  if (machine.phase !== DrivePhase.Streaming || machine.connectionId !== event.connectionId) return;
   switch (event.kind) {
     case DriveEventKind.StreamOpened:
-      drive.isOpen = true;
-      drive.reattachCount = 0;
+      machine.isOpen = true;
+      machine.reattachCount = 0;
       return;
     case DriveEventKind.StreamTokens:
       onTokens(turn, event.index, event.tokens);
@@ -51,198 +51,199 @@
 }
 
 function onTokens(turn: Turn, index: number, tokens: readonly string[]): void {
-  const { drive } = turn;
-  if (index > drive.tokens.length) {
-    reattachSoon(turn);
+  const { machine } = turn;
+  if (index > machine.tokens.length) {
+    scheduleReattach(turn);
     return;
   }
-  if (!takeTokens(turn, index, tokens)) {
-    tellDiverged(turn);
+  if (!appendTokens(turn, index, tokens)) {
+    refuseDivergedText(turn);
     return;
   }
-  const isCompared = index + tokens.length === drive.tokens.length;
-  if (isCompared && drive.attempt !== null) drive.textAttemptId = drive.attempt.id;
+  const isCompared = index + tokens.length === machine.tokens.length;
+  if (isCompared && machine.attempt !== null) machine.textAttemptId = machine.attempt.id;
 }
 
 function onEnd(turn: Turn, end: StreamEnd): void {
-  const { drive } = turn;
-  const isCompared = drive.tokens.length === 0 || drive.textAttemptId === drive.attempt?.id;
-  if (end.tokenCount > drive.tokens.length || (!isCompared && end.tokenCount > 0)) {
-    reattachSoon(turn);
+  const { machine } = turn;
+  const isCompared = machine.tokens.length === 0 || machine.textAttemptId === machine.attempt?.id;
+  if (end.tokenCount > machine.tokens.length || (!isCompared && end.tokenCount > 0)) {
+    scheduleReattach(turn);
     return;
   }
-  if (drive.attempt !== null) settleLoneRun(turn, drive.attempt, LoneRunEnd.Finished);
-  if (end.tokenCount === drive.tokens.length) deliverEnd(turn, end.ending);
-  else tellDiverged(turn);
+  if (machine.attempt !== null) settleLoneRun(turn, machine.attempt, LoneRunEnd.Finished);
+  if (end.tokenCount === machine.tokens.length) deliverEnd(turn, end.ending);
+  else refuseDivergedText(turn);
 }
 
-/** A message of the stream went missing: reads on from the last token that came. */
-function reattachSoon(turn: Turn): void {
-  const { drive } = turn;
-  turn.out.push({ kind: DriveEffectKind.CloseStream, connectionId: drive.connectionId });
-  drive.connectionId = 0;
+/** Schedules a reattach after the last received token because a message of the stream was lost. */
+function scheduleReattach(turn: Turn): void {
+  const { machine } = turn;
+  turn.out.push({ kind: DriveEffectKind.CloseStream, connectionId: machine.connectionId });
+  machine.connectionId = 0;
   setTimer(turn, DriveTimer.Reattach, turn.context.options.reattachAfterMs);
 }
 
 function onFailure(turn: Turn, failure: StreamFailure): void {
-  const { drive } = turn;
-  if (failure.record?.bodyHash === drive.request.bodyHash) {
-    drive.known = joinRecords(drive.known, failure.record);
+  const { machine } = turn;
+  if (failure.record?.bodyHash === machine.request.bodyHash) {
+    machine.known = joinRecords(machine.known, failure.record);
   }
   switch (failure.reason) {
     case StreamFailureReason.ConnectionLost:
-      reattachOrLeave(turn);
+      onConnectionLost(turn);
       return;
     case StreamFailureReason.Lost:
-      onLost(turn);
+      onUnknownAttempt(turn);
       return;
     case StreamFailureReason.Superseded:
       onSuperseded(turn, failure);
       return;
     case StreamFailureReason.Expired:
-      attemptExpired(turn, failure);
+      onAttemptExpired(turn, failure);
       return;
     case StreamFailureReason.SessionRequired:
       forgetSession(turn);
-      attemptOver(turn, failure.mayHaveRun);
+      endAttempt(turn, failure.mayHaveRun);
       return;
     case StreamFailureReason.EngineCrashed:
       onCrash(turn);
       return;
     case StreamFailureReason.Suspected:
-      drive.isSuspect = true;
-      attemptOver(turn, failure.mayHaveRun);
+      machine.isSuspect = true;
+      endAttempt(turn, failure.mayHaveRun);
       return;
     case StreamFailureReason.TooOld:
     case StreamFailureReason.Busy:
     case StreamFailureReason.Cancelled:
     case StreamFailureReason.EngineFailed:
-      attemptOver(turn, failure.mayHaveRun);
+      endAttempt(turn, failure.mayHaveRun);
   }
 }
 
-function reattachOrLeave(turn: Turn): void {
-  const { drive, context } = turn;
-  drive.connectionId = 0;
-  if (drive.attempt !== null && context.isLive(drive.attempt.sidecar)) {
+function onConnectionLost(turn: Turn): void {
+  const { machine, context } = turn;
+  machine.connectionId = 0;
+  if (machine.attempt !== null && context.isLive(machine.attempt.sidecar)) {
     setTimer(turn, DriveTimer.Reattach, context.options.reattachAfterMs);
     return;
   }
-  lossOfTarget(turn);
+  onSidecarLost(turn);
 }
 
-/** The sidecar of the attempt is dead, as far as membership can tell. */
-export function lossOfTarget(turn: Turn): void {
-  turn.drive.lossCount += 1;
-  attemptOver(turn, true, LoneRunEnd.Lost);
+/** Ends the attempt because membership reports its sidecar as dead. */
+export function onSidecarLost(turn: Turn): void {
+  turn.machine.lossCount += 1;
+  endAttempt(turn, true, LoneRunEnd.Lost);
 }
 
-/** Time to attach again. */
+/** Attaches to the attempt again when the timer fires. */
 export function reattach(turn: Turn): void {
-  const { drive, context } = turn;
-  if (drive.phase !== DrivePhase.Streaming || drive.attempt === null) return;
-  if (context.isLive(drive.attempt.sidecar)) attachTo(turn, drive.attempt);
-  else lossOfTarget(turn);
+  const { machine, context } = turn;
+  if (machine.phase !== DrivePhase.Streaming || machine.attempt === null) return;
+  if (context.isLive(machine.attempt.sidecar)) attachTo(turn, machine.attempt);
+  else onSidecarLost(turn);
 }
 
 /**
- * The sidecar knows nothing of the attempt. Its dispatch may still be under way: another entry's
- * gets time, and the attempt is taken back before anything else is tried.
+ * Handles a sidecar that does not know the attempt. The dispatch may still be in transit: a
+ * dispatch of another entry is given time to arrive, and the attempt is cancelled before another
+ * one is tried.
  */
-function onLost(turn: Turn): void {
-  const { drive, context } = turn;
-  if (drive.attempt === null) return;
-  drive.reattachCount += 1;
-  const mayStillCome = !isOwn(turn, drive.attempt);
-  if (mayStillCome && drive.reattachCount <= context.options.reattachTries) {
-    drive.connectionId = 0;
+function onUnknownAttempt(turn: Turn): void {
+  const { machine, context } = turn;
+  if (machine.attempt === null) return;
+  machine.reattachCount += 1;
+  const mayStillArrive = !isOwnAttempt(turn, machine.attempt);
+  if (mayStillArrive && machine.reattachCount <= context.options.maxReattachTries) {
+    machine.connectionId = 0;
     setTimer(turn, DriveTimer.Reattach, context.options.reattachAfterMs);
     return;
   }
   cancelAttempt(turn);
 }
 
-/** Takes the attempt back, if it has not been received. */
+/** Asks the sidecar to cancel the attempt unless it has already received it. */
 export function cancelAttempt(turn: Turn): void {
-  const { drive } = turn;
-  if (drive.attempt === null) return;
-  drive.phase = DrivePhase.Cancelling;
-  turn.out.push({ kind: DriveEffectKind.CancelAttempt, attempt: drive.attempt });
+  const { machine } = turn;
+  if (machine.attempt === null) return;
+  machine.phase = DrivePhase.Cancelling;
+  turn.out.push({ kind: DriveEffectKind.CancelAttempt, attempt: machine.attempt });
   setTimer(turn, DriveTimer.Cancel, turn.context.options.cancelTimeoutMs);
 }
 
-/** The sidecar says whether the attempt was taken back. */
+/** Handles the sidecar's reply to the cancellation, or its timeout. */
 export function onCancelOutcome(turn: Turn, outcome: CancelOutcome): void {
-  const { drive, context } = turn;
-  if (drive.phase !== DrivePhase.Cancelling || drive.attempt === null) return;
-  drive.timerIds.delete(DriveTimer.Cancel);
+  const { machine, context } = turn;
+  if (machine.phase !== DrivePhase.Cancelling || machine.attempt === null) return;
+  machine.timerIds.delete(DriveTimer.Cancel);
   if (outcome === CancelOutcome.NeverRuns) {
-    drive.neverRan.add(drive.attempt.id);
-    drive.over.add(drive.attempt.id);
-    settleLoneRun(turn, drive.attempt, LoneRunEnd.Aborted);
+    machine.neverRan.add(machine.attempt.id);
+    machine.over.add(machine.attempt.id);
+    settleLoneRun(turn, machine.attempt, LoneRunEnd.Aborted);
   }
-  if (drive.pendingFailure !== null) {
-    refuse(turn, drive.pendingFailure, context.options.retryAfterMs);
+  if (machine.pendingFailure !== null) {
+    refuse(turn, machine.pendingFailure, context.options.retryAfterMs);
     return;
   }
-  if (outcome === CancelOutcome.Started) attachTo(turn, drive.attempt);
-  else attemptOver(turn, outcome !== CancelOutcome.NeverRuns);
+  if (outcome === CancelOutcome.Started) attachTo(turn, machine.attempt);
+  else endAttempt(turn, outcome !== CancelOutcome.NeverRuns);
 }
 
-/** The deadline passed while a stream was open or being opened. */
+/** Cancels an attempt that has added no token by the deadline. */
 export function onDeadlineInStream(turn: Turn): void {
-  const { drive } = turn;
-  const startIndex = drive.attempt?.startIndex ?? 0;
-  if (drive.tokens.length > startIndex) return;
-  drive.pendingFailure = DEADLINE_PASSED.of({ service: drive.request.service });
+  const { machine } = turn;
+  const startIndex = machine.attempt?.startIndex ?? 0;
+  if (machine.tokens.length > startIndex) return;
+  machine.pendingFailure = DEADLINE_PASSED.of({ service: machine.request.service });
   cancelAttempt(turn);
 }
 
-function attemptExpired(turn: Turn, failure: StreamFailure): void {
-  const { drive, context } = turn;
-  if (drive.attempt === null) return;
-  drive.over.add(drive.attempt.id);
-  if (!failure.mayHaveRun) drive.neverRan.add(drive.attempt.id);
-  settleLoneRun(turn, drive.attempt, LoneRunEnd.Aborted);
-  const { service } = drive.request;
+function onAttemptExpired(turn: Turn, failure: StreamFailure): void {
+  const { machine, context } = turn;
+  if (machine.attempt === null) return;
+  machine.over.add(machine.attempt.id);
+  if (!failure.mayHaveRun) machine.neverRan.add(machine.attempt.id);
+  settleLoneRun(turn, machine.attempt, LoneRunEnd.Aborted);
+  const { service } = machine.request;
   refuse(turn, DEADLINE_PASSED.of({ service }), context.options.retryAfterMs);
 }
 
 function onSuperseded(turn: Turn, failure: StreamFailure): void {
-  const { drive } = turn;
+  const { machine } = turn;
   if (failure.record === null) {
-    if (drive.attempt !== null) drive.over.add(drive.attempt.id);
-    refuse(turn, KEY_CONFLICT.of({ service: drive.request.service }), 0);
+    if (machine.attempt !== null) machine.over.add(machine.attempt.id);
+    refuse(turn, KEY_CONFLICT.of({ service: machine.request.service }), 0);
     return;
   }
-  const current = currentAttempt(drive.known);
-  const isStill = drive.known.answer === null && current?.id === drive.attempt?.id;
-  if (isStill) attemptOver(turn, true);
-  else decide(turn);
+  const current = currentAttempt(machine.known);
+  const isStillCurrent = machine.known.answer === null && current?.id === machine.attempt?.id;
+  if (isStillCurrent) endAttempt(turn, true);
+  else startNextStep(turn);
 }
 
 function forgetSession(turn: Turn): void {
-  const sidecar = turn.drive.attempt?.sidecar;
+  const sidecar = turn.machine.attempt?.sidecar;
   if (sidecar !== undefined) turn.out.push({ kind: DriveEffectKind.ForgetSession, sidecar });
 }
 
 function onCrash(turn: Turn): void {
-  const { drive, context } = turn;
-  const { attempt } = drive;
+  const { machine, context } = turn;
+  const { attempt } = machine;
   if (attempt === null) return;
-  drive.isSuspect = true;
-  const crashedAttemptIds = [...new Set([...drive.known.crashedAttemptIds, attempt.id])].sort();
-  drive.known = { ...drive.known, crashedAttemptIds };
+  machine.isSuspect = true;
+  const crashedAttemptIds = [...new Set([...machine.known.crashedAttemptIds, attempt.id])].sort();
+  machine.known = { ...machine.known, crashedAttemptIds };
   turn.out.push({ kind: DriveEffectKind.NoteCrash, attemptId: attempt.id });
   emit(turn, EventKind.RequestSuspected, 'its engine crashed while it ran', {
     target: attempt.target,
     figures: { crashes: crashedAttemptIds.length },
   });
-  if (drive.request.repeatable) {
-    attemptOver(turn, true);
+  if (machine.request.repeatable) {
+    endAttempt(turn, true);
     return;
   }
-  drive.over.add(attempt.id);
-  const { service } = drive.request;
+  machine.over.add(attempt.id);
+  const { service } = machine.request;
   refuse(turn, OUTCOME_UNKNOWN.of({ service }), context.options.retryAfterMs);
 }
--- a/packages/coordination/src/core/records/drive-support.ts
+++ b/packages/coordination/src/core/records/drive-support.ts
@@ -1,5 +1,6 @@
 /**
- * What the steps of the request machine share: one turn's inputs and effects, ids, timers, events.
+ * Helpers shared by the modules of the request machine: ids, timers, events, and the turn, which is
+ * the handling of one event.
  */
 import type { EventKind, UnstampedEvent } from '../events/event.js';
 import { DriveEffectKind } from './drive-messages.js';
@@ -7,39 +8,39 @@
 import type { DriveEffect } from './drive-messages.js';
 import type { DriveContext, DriveTimer, RequestDrive } from './drive-types.js';
 
-/** One turn of a machine. */
+/** State, inputs and collected effects while a machine handles one event. */
 export interface Turn {
-  readonly drive: RequestDrive;
+  readonly machine: RequestDrive;
   readonly context: DriveContext;
   readonly out: DriveEffect[];
 }
 
-/** A number that this machine has not used before. */
-export function nextId(drive: RequestDrive): number {
-  drive.lastId += 1;
-  return drive.lastId;
+/** Returns an id that this machine has not used before. */
+export function nextId(machine: RequestDrive): number {
+  machine.lastId += 1;
+  return machine.lastId;
 }
 
-/** Sets a timer, in place of an earlier one of the same kind. */
+/** Sets a timer, replacing a pending one of the same kind. */
 export function setTimer(turn: Turn, timer: DriveTimer, afterMs: number): void {
-  const timerId = nextId(turn.drive);
-  turn.drive.timerIds.set(timer, timerId);
+  const timerId = nextId(turn.machine);
+  turn.machine.timerIds.set(timer, timerId);
   turn.out.push({ kind: DriveEffectKind.SetTimer, timer, timerId, afterMs });
 }
 
-/** Makes a timer that is under way mean nothing. */
+/** Clears a timer: a pending one is ignored when it fires. */
 export function clearTimer(turn: Turn, timer: DriveTimer): void {
-  turn.drive.timerIds.delete(timer);
+  turn.machine.timerIds.delete(timer);
 }
 
-/** Puts an event on the time line. */
+/** Records an event on the time line. */
 export function emit(
   turn: Turn,
   kind: EventKind,
   reason: string,
   details: Pick<UnstampedEvent, 'target' | 'figures'> = {},
 ): void {
-  const { request } = turn.drive;
+  const { request } = turn.machine;
   const event: UnstampedEvent = {
     kind,
     reason,
@@ -51,14 +52,14 @@
   turn.out.push({ kind: DriveEffectKind.Emit, event });
 }
 
-/** Time left until the deadline. */
+/** Returns the time left until the deadline, at least 0. */
 export function remainingMs(turn: Turn): number {
-  return Math.max(0, turn.drive.deadlineAtMs - turn.context.nowMs);
+  return Math.max(0, turn.machine.deadlineAtMs - turn.context.nowMs);
 }
 
-/** Ends the machine: nothing that comes later has an effect. */
+/** Ends the machine: later events have no effect. */
 export function finishDrive(turn: Turn): void {
-  turn.drive.phase = DrivePhase.Done;
-  turn.drive.timerIds.clear();
-  turn.drive.round = null;
+  turn.machine.phase = DrivePhase.Done;
+  turn.machine.timerIds.clear();
+  turn.machine.round = null;
 }
--- a/packages/coordination/src/core/records/drive-timers.ts
+++ b/packages/coordination/src/core/records/drive-timers.ts
@@ -1,20 +1,21 @@
 /**
- * Timers of the request machine: holders that do not answer, back-off, the deadline.
+ * Handles the timers of the request machine: holders that do not reply, reattaching, backoff,
+ * cancelling and the deadline.
  */
 import { RunState } from '../model/outcome.js';
-import { prepare } from './drive-attempts.js';
-import { abandonPrepared, refuse, tellRefusal } from './drive-refusals.js';
-import { waitOn } from './drive-rounds.js';
+import { prepareAttempt } from './drive-attempts.js';
+import { abandonPreparedAttempt, refuse, sendRefusal } from './drive-refusals.js';
+import { continueRound } from './drive-rounds.js';
 import { onCancelOutcome, onDeadlineInStream, reattach } from './drive-streams.js';
 import type { Turn } from './drive-support.js';
 import { DrivePhase, DriveTimer } from './drive-types.js';
 import { DEADLINE_PASSED, RECORDS_UNREACHABLE } from './failures.js';
 import { CancelOutcome } from './messages.js';
 
-/** Takes a timer that fired. */
+/** Handles a timer that fired. */
 export function onTimer(turn: Turn, timer: DriveTimer): void {
-  const { drive } = turn;
-  drive.timerIds.delete(timer);
+  const { machine } = turn;
+  machine.timerIds.delete(timer);
   switch (timer) {
     case DriveTimer.Holders:
       onHoldersTimeout(turn);
@@ -23,7 +24,7 @@
       reattach(turn);
       return;
     case DriveTimer.BackOff:
-      if (drive.phase === DrivePhase.BackingOff) prepare(turn);
+      if (machine.phase === DrivePhase.BackingOff) prepareAttempt(turn);
       return;
     case DriveTimer.Cancel:
       onCancelOutcome(turn, CancelOutcome.Unknown);
@@ -34,20 +35,20 @@
 }
 
 function onHoldersTimeout(turn: Turn): void {
-  const { drive, context } = turn;
-  if (drive.round === null || waitOn(turn)) return;
-  const { service } = drive.request;
-  drive.pendingFailure ??= RECORDS_UNREACHABLE.of({ service });
-  abandonPrepared(turn);
-  const isAnswered = drive.phase === DrivePhase.Reconciling;
-  drive.pendingRetryAfterMs = context.options.retryAfterMs;
-  tellRefusal(turn, isAnswered ? RunState.Ran : RunState.Unknown);
+  const { machine, context } = turn;
+  if (machine.round === null || continueRound(turn)) return;
+  const { service } = machine.request;
+  machine.pendingFailure ??= RECORDS_UNREACHABLE.of({ service });
+  abandonPreparedAttempt(turn);
+  const isAnswered = machine.phase === DrivePhase.Reconciling;
+  machine.pendingRetryAfterMs = context.options.retryAfterMs;
+  sendRefusal(turn, isAnswered ? RunState.Ran : RunState.Unknown);
 }
 
 function onDeadline(turn: Turn): void {
-  const { drive, context } = turn;
-  const { service } = drive.request;
-  switch (drive.phase) {
+  const { machine, context } = turn;
+  const { service } = machine.request;
+  switch (machine.phase) {
     case DrivePhase.Streaming:
       onDeadlineInStream(turn);
       return;
@@ -58,7 +59,7 @@
     case DrivePhase.Done:
       return;
     default:
-      abandonPrepared(turn);
+      abandonPreparedAttempt(turn);
       refuse(turn, DEADLINE_PASSED.of({ service }), context.options.retryAfterMs);
   }
 }
--- a/packages/coordination/src/core/records/drive-types.ts
+++ b/packages/coordination/src/core/records/drive-types.ts
@@ -1,7 +1,7 @@
 /**
- * Types of the request machine of an entry: its request, its steps, its guards, its memory. One machine drives one delivery, that is one connection of one caller. A caller that
- * comes back, through whichever entry, starts another, which finds the first one's work by the
- * record.
+ * Types of the request state machine of an entry: its request, phases, timers, options and state.
+ * One machine serves one connection of one caller. A caller that reconnects, through the same or
+ * another entry, starts a new machine, which finds the work of the first one through the record.
  */
 import type { Failure } from '../failures/failure.js';
 import type { Hash32 } from '../hashing/hashing.js';
@@ -12,15 +12,15 @@
 import type { HolderCall, HolderReply } from './messages.js';
 import type { Attempt, RequestRecord } from './record.js';
 
-/** Where a caller goes on: the id of the last event that it read. */
+/** Position at which a caller resumes, parsed from the id of the last event that it received. */
 export interface ResumePoint {
-  /** Number of tokens that it has. */
+  /** Number of tokens that the caller has received. */
   readonly index: number;
-  /** Hash over these tokens. */
+  /** Hash of these tokens. */
   readonly hash: number;
 }
 
-/** What a caller asks. */
+/** The request of a caller. */
 export interface DriveRequest {
   readonly keyText: string;
   readonly workspace: string;
@@ -32,7 +32,7 @@
   readonly resume: ResumePoint | null;
 }
 
-/** The step that a machine is at. */
+/** Phases of a request machine. */
 export enum DrivePhase {
   Creating = 'creating',
   AwaitingAdmission = 'awaiting-admission',
@@ -43,16 +43,16 @@
   Streaming = 'streaming',
   Cancelling = 'cancelling',
   BackingOff = 'backing-off',
-  /** Making all holders agree on the answer before it is told. */
+  /** Replicating and committing the answer on all holders before it is sent to the caller. */
   Reconciling = 'reconciling',
-  /** Writing the conviction to the holders before it is told. */
+  /** Storing the conviction on the holders before it is sent to the caller. */
   Convicting = 'convicting',
-  /** Taking the record back before "not-run" is told. */
+  /** Deleting the record from the holders before the caller is answered with "not-run". */
   Releasing = 'releasing',
   Done = 'done',
 }
 
-/** Timers of a machine; setting one again replaces it. */
+/** Timers of a machine. Setting a timer replaces the pending one of the same kind. */
 export enum DriveTimer {
   Holders = 'holders',
   Reattach = 'reattach',
@@ -61,34 +61,34 @@
   Deadline = 'deadline',
 }
 
-/** How the claim of a call that may not be repeated went. */
+/** Result of claiming a call that may not be repeated. */
 export enum ClaimOutcome {
   Granted = 'granted',
-  /** Another attempt holds it. */
+  /** Another attempt holds the claim. */
   Held = 'held',
-  /** The key-value service is out. */
+  /** The key-value service is unavailable. */
   Unavailable = 'unavailable',
 }
 
-/** What the policy or the poison ledger says of a suspect. */
+/** Result of requesting a lone run for a request that is suspected of crashing engines. */
 export enum LoneRunOutcome {
   Granted = 'granted',
   Convicted = 'convicted',
-  /** Another suspect of the service runs, or the key-value service is out. */
+  /** Another suspect of the service is running, or the key-value service is unavailable. */
   Later = 'later',
 }
 
-/** How a lone run ended, for the ledger. */
+/** How a lone run ended, as reported to the poison ledger. */
 export enum LoneRunEnd {
   Finished = 'finished',
   Crashed = 'crashed',
-  /** Its sidecar was lost, and perhaps its target with it. */
+  /** The sidecar was lost, possibly together with its target. */
   Lost = 'lost',
-  /** It never ran, or failed without a crash. */
+  /** The attempt never ran, or failed without a crash. */
   Aborted = 'aborted',
 }
 
-/** What this process knows of a content through the ledger's watch. */
+/** Status of a content in the copy of the poison ledger that this process watches. */
 export enum Suspicion {
   /** The ledger has not been read since this process started. */
   Unread = 'unread',
@@ -97,54 +97,60 @@
   Convicted = 'convicted',
 }
 
-/** One question put to all holders of the key. */
+/** A round: one call that is sent to all holders of the key, and their replies. */
 export interface HolderRound {
   readonly id: number;
   readonly call: HolderCall;
-  /** Latest reply of each member that answered. */
+  /** Latest reply of each member that has replied. */
   readonly replies: Map<string, HolderReply>;
-  /** Members that were asked and may still answer: not asked again before their repeat is due. */
-  readonly underWay: Set<string>;
-  /** Members that answered and have not been up for long. */
-  readonly young: Set<string>;
+  /** Members that may still reply; they are not called again before the next repeat is due. */
+  readonly pending: Set<string>;
+  /** Members that replied and have started recently. */
+  readonly recentlyStarted: Set<string>;
 }
 
-/** Decides from the replies of a round whether every holder has done what was asked. */
+/** Decides from the replies of a round whether every holder has applied the call. */
 export type AllHoldersDone = (
   replies: ReadonlyMap<string, HolderReply>,
   holders: readonly string[],
 ) => boolean;
-/** Decides whether tokens that come may follow those that are there. */
+/** Decides whether received tokens are consistent with the known ones and continue them. */
 export type FitsAnswer = (
   known: readonly string[],
   index: number,
   tokens: readonly string[],
 ) => boolean;
-/** Decides whether the text made matches what a returning caller has read. */
+/** Decides whether the generated text matches the text that a resuming caller has received. */
 export type MatchesResume = (resume: ResumePoint, hashAtIndex: number) => boolean;
-/** Decides whether a call that may not be repeated may be dispatched again. */
+/** Decides whether a call may be dispatched again after an attempt that may have run. */
 export type MayRunAgain = (repeatable: boolean, mayHaveRun: boolean) => boolean;
 
-/** Bounds and guards. */
+/** Limits, timeouts and decision functions of a request machine. */
 export interface DriveOptions {
   readonly retry: RetryOptions;
-  /** Wait before a holder that could not be reached is asked again. */
-  readonly holderTimeoutMs: number;
-  /** Such waits after which a refusal says `unknown` at the latest. */
-  readonly holderRounds: number;
-  /** Such waits after which a holder that is silent, though it was reached, is asked once more. */
-  readonly holderRepeatRounds: number;
+  /** Wait before an unreachable holder is called again. */
+  readonly holderWaitMs: number;
+  /** Number of these waits after which the machine gives up with the run state `unknown`. */
+  readonly maxHolderWaits: number;
+  /** Number of these waits after which a reachable holder that has not replied is called again. */
+  readonly waitsPerHolderRepeat: number;
   readonly reattachAfterMs: number;
-  /** Times that a stream noted by another entry may be missing at its sidecar before it counts as lost. */
-  readonly reattachTries: number;
+  /**
+   * Number of times that a stream dispatched by another entry may be missing at its sidecar before
+   * it counts as lost.
+   */
+  readonly maxReattachTries: number;
   readonly cancelTimeoutMs: number;
-  /** What a caller is told to wait where nothing better is known. */
+  /** Retry delay that is sent to a caller if no better estimate is available. */
   readonly retryAfterMs: number;
-  /** Time within which a new member has been handed the records of its keys. */
+  /** Time within which a new member receives the records of its keys from other members. */
   readonly settleMs: number;
-  /** How long an earlier submission can matter: a holder that is younger proves nothing. */
+  /**
+   * How long an earlier submission can matter. A holder that has been up for less time may have
+   * lost its record, so its lack of a record proves nothing.
+   */
   readonly absenceHorizonMs: number;
-  /** Guards acceptance and dispatch. */
+  /** Decides whether a request may be accepted or an attempt dispatched. */
   readonly mayProceed: AllHoldersDone;
   readonly mayTellAnswer: AllHoldersDone;
   readonly fitsAnswer: FitsAnswer;
@@ -154,7 +160,7 @@
   readonly isConvicted: IsConvicted;
 }
 
-/** What varies from call to call. */
+/** Inputs that may differ between calls of the machine. */
 export interface DriveContext {
   readonly nowMs: number;
   readonly random: Random;
@@ -163,58 +169,63 @@
   readonly entryId: string;
   readonly options: DriveOptions;
   readonly budget: RetryBudget;
-  /** Present holders of this machine's key, as if the members in `without` were not there. */
+  /**
+   * Returns the current holders of the request's key, computed without the members in `without`.
+   */
   readonly holders: (without?: ReadonlySet<string>) => readonly string[];
-  /** Whether a member may be alive: it is not known to be dead, or this entry is too young to know. */
+  /**
+   * Whether a member may be alive: not known to be dead, or this entry has started too recently to
+   * know.
+   */
   readonly isLive: (memberId: string) => boolean;
   readonly suspicion: () => Suspicion;
-  /** Whether these members' ignorance proves that the request never ran before. */
+  /** Whether the lack of attempts at these members proves that the request never ran before. */
   readonly provesAbsence: (absentAt: readonly string[]) => boolean;
 }
 
-/** What a machine remembers. */
+/** State of a request machine. */
 export interface RequestDrive {
-  /** Unique over all entries and their restarts; attempts are named after it. */
+  /** Unique across all entries and their restarts; it is the prefix of attempt ids. */
   readonly id: string;
   readonly request: DriveRequest;
   readonly deadlineAtMs: number;
   phase: DrivePhase;
-  /** Everything that is known of the request, joined from all replies. */
+  /** State of the request, merged from all replies. */
   known: RequestRecord;
   round: HolderRound | null;
-  /** Waits for the holders of the present round that are over. */
+  /** Number of completed waits for the holders of the current round. */
   roundsWaited: number;
-  /** Attempt that is prepared, dispatched or attached to. */
+  /** Attempt that is being prepared, is dispatched, or is attached to. */
   attempt: Attempt | null;
   place: Place | null;
-  /** Attempt of whose text `tokens` is known to be the beginning; null for none yet. */
+  /** Attempt whose text is known to start with `tokens`, or null if there is none yet. */
   textAttemptId: string | null;
   /** Incarnation of the sidecar that a lone run was granted for. */
-  loneIncarnation: string;
-  /** Attempts that are over or out of reach. */
+  loneRunIncarnation: string;
+  /** Ids of attempts that have ended or whose sidecar is unreachable. */
   readonly over: Set<string>;
-  /** Of these, the ones that did not and will never run. */
+  /** Ids of those that have not run and never will. */
   readonly neverRan: Set<string>;
-  /** Members that have been up over the horizon and know of no attempt. */
+  /** Members that have been up for at least `absenceHorizonMs` and have no attempt on record. */
   readonly absentAt: Set<string>;
   avoidTargets: string[];
   isSuspect: boolean;
   lossCount: number;
   reattachCount: number;
   retryCount: number;
-  /** Times that the holders were asked to agree on the answer. */
+  /** Number of rounds used to make the holders agree on the answer. */
   reconcileCount: number;
-  /** Whether the stream on the present connection was opened. */
+  /** Whether the stream on the current connection has been opened. */
   isOpen: boolean;
   readonly tokens: string[];
-  /** Hash of the tokens up to each count; entry 0 is of no token. */
+  /** Hash of the first n tokens at each index n; index 0 is the hash of the empty text. */
   readonly hashes: number[];
-  /** Tokens that the caller has. */
-  toldCount: number;
+  /** Number of tokens sent to the caller, on this connection or before it resumed. */
+  sentCount: number;
   callerPresent: boolean;
   pendingFailure: Failure | null;
   pendingRetryAfterMs: number;
-  /** Counts asks, rounds, connections, timers and attempts of this machine. */
+  /** Last id issued to a query, round, connection, timer or attempt of this machine. */
   lastId: number;
   askId: number;
   connectionId: number;
--- a/packages/coordination/src/core/records/drive.ts
+++ b/packages/coordination/src/core/records/drive.ts
@@ -1,39 +1,41 @@
 /**
- * The request machine of an entry: from a caller's arrival to its whole answer or a true refusal.
- * It says "accepted" only once both holders have the record, dispatches only what the holders have
- * noted (and, where a call may not be repeated, what is claimed), goes on where the text stopped,
- * and tells an answer only when every holder has it. See docs/design/requests.md.
+ * State machine on an entry that carries a caller's request to exactly one complete answer or to a
+ * refusal with a truthful run state. A request is accepted once both holders have its record. An
+ * attempt is dispatched only after the holders have recorded it and, if the call may not be
+ * repeated, after it is claimed. A later attempt continues the text where the earlier one stopped,
+ * and the end of an answer is sent only after every holder has stored it. See
+ * docs/design/requests.md.
  */
 import { EventKind } from '../events/event.js';
 import { RecordPhase } from '../model/outcome.js';
 import {
   backOff,
-  decide,
-  dispatch,
+  startNextStep,
+  dispatchAttempt,
   noteAttempt,
-  takePlace,
-  takeSession,
+  openSessionFor,
+  onSessionOpened,
 } from './drive-attempts.js';
 import { EMPTY_TEXT_HASH } from './drive-delivery.js';
 import {
-  abandonPrepared,
+  abandonPreparedAttempt,
   convict,
   refuse,
   runStateOf,
-  tellFinalFailure,
-  tellRefusal,
+  sendFinalFailure,
+  sendRefusal,
 } from './drive-refusals.js';
 import {
-  askMissing,
+  callMissingMembers,
   beginRound,
   roundFigures,
   roundIsComplete,
-  roundTargets,
-  someReply,
-  takeFailure,
-  takeReply,
+  roundMembers,
+  hasReplyOfKind,
+  onHolderUnreachable,
+  acceptReply,
 } from './drive-rounds.js';
-import { lossOfTarget, onCancelOutcome, onStreamEvent } from './drive-streams.js';
+import { onSidecarLost, onCancelOutcome, onStreamEvent } from './drive-streams.js';
 import { onTimer } from './drive-timers.js';
 import { emit, finishDrive, setTimer } from './drive-support.js';
 import type { Turn } from './drive-support.js';
@@ -46,9 +48,12 @@
 import type { HolderReply } from './messages.js';
 import { joinRecords } from './record.js';
 import { depositFirstTry } from '../retries/retries.js';
-import { resolveNote, reconcile } from './drive-agreement.js';
+import { resolveNoteConflict, reconcileAnswer } from './drive-agreement.js';
 
-/** A machine for one delivery. `id` is unique over all entries and their restarts. */
+/**
+ * Creates the machine for one connection. `id` must be unique across all entries and their
+ * restarts.
+ */
 export function createDrive(id: string, request: DriveRequest, nowMs: number): RequestDrive {
   return {
     id,
@@ -73,7 +78,7 @@
     attempt: null,
     place: null,
     textAttemptId: null,
-    loneIncarnation: '',
+    loneRunIncarnation: '',
     over: new Set(),
     neverRan: new Set(),
     absentAt: new Set(),
@@ -86,7 +91,7 @@
     isOpen: false,
     tokens: [],
     hashes: [EMPTY_TEXT_HASH],
-    toldCount: request.resume?.index ?? 0,
+    sentCount: request.resume?.index ?? 0,
     callerPresent: true,
     pendingFailure: null,
     pendingRetryAfterMs: 0,
@@ -97,19 +102,19 @@
   };
 }
 
-/** Takes one event and returns what is to be done. */
+/** Handles one event and returns the effects to execute. */
 export function handleDriveEvent(
-  drive: RequestDrive,
+  machine: RequestDrive,
   event: DriveEvent,
   context: DriveContext,
 ): readonly DriveEffect[] {
-  const turn: Turn = { drive, context, out: [] };
-  if (drive.phase !== DrivePhase.Done) handle(turn, event);
+  const turn: Turn = { machine, context, out: [] };
+  if (machine.phase !== DrivePhase.Done) handle(turn, event);
   return turn.out;
 }
 
 function handle(turn: Turn, event: DriveEvent): void {
-  const { drive } = turn;
+  const { machine } = turn;
   switch (event.kind) {
     case DriveEventKind.CallerArrived:
       start(turn);
@@ -118,7 +123,7 @@
       onCallerGone(turn);
       return;
     case DriveEventKind.HolderFailed:
-      takeFailure(turn, event.roundId, event.from);
+      onHolderUnreachable(turn, event.roundId, event.from);
       return;
     case DriveEventKind.HolderReplied:
       onHolderReply(turn, event.roundId, event.from, event.reply);
@@ -133,32 +138,32 @@
       onStreamEvent(turn, event);
       return;
     case DriveEventKind.CancelReplied:
-      if (event.attemptId === drive.attempt?.id) onCancelOutcome(turn, event.outcome);
+      if (event.attemptId === machine.attempt?.id) onCancelOutcome(turn, event.outcome);
       return;
     case DriveEventKind.TimerFired:
-      if (drive.timerIds.get(event.timer) === event.timerId) onTimer(turn, event.timer);
+      if (machine.timerIds.get(event.timer) === event.timerId) onTimer(turn, event.timer);
       return;
     default:
-      if (event.askId === drive.askId) onAskReplied(turn, event);
+      if (event.askId === machine.askId) onAskReplied(turn, event);
   }
 }
 
 function start(turn: Turn): void {
-  const { drive, context } = turn;
+  const { machine, context } = turn;
   depositFirstTry(context.budget, context.options.retry);
-  setTimer(turn, DriveTimer.Deadline, drive.request.deadlineMs);
-  beginRound(turn, { kind: HolderCallKind.Create, record: drive.known });
+  setTimer(turn, DriveTimer.Deadline, machine.request.deadlineMs);
+  beginRound(turn, { kind: HolderCallKind.Create, record: machine.known });
 }
 
 /**
- * An accepted request goes on without its caller. One that is not accepted yet ends: nothing was
- * promised, and callers who leave and come back would each time leave another one behind that asks
- * the holders.
+ * Handles the loss of the caller's connection. An accepted request continues without its caller. A
+ * request that is not accepted yet ends because nothing was promised; otherwise every reconnect of
+ * a caller would leave one more machine behind that keeps calling the holders.
  */
 function onCallerGone(turn: Turn): void {
-  const { drive } = turn;
-  drive.callerPresent = false;
-  if (drive.phase !== DrivePhase.Creating) return;
+  const { machine } = turn;
+  machine.callerPresent = false;
+  if (machine.phase !== DrivePhase.Creating) return;
   emit(turn, EventKind.RequestRefused, 'its caller left before it was accepted', {
     figures: roundFigures(turn),
   });
@@ -168,30 +173,30 @@
 type AskReply = Extract<DriveEvent, { askId: number }>;
 
 function onAskReplied(turn: Turn, event: AskReply): void {
-  const { drive, context } = turn;
-  const { service } = drive.request;
+  const { machine, context } = turn;
+  const { service } = machine.request;
   switch (event.kind) {
     case DriveEventKind.Admitted:
-      if (drive.phase === DrivePhase.AwaitingAdmission) takePlace(turn, event.place, false);
+      if (machine.phase === DrivePhase.AwaitingAdmission) openSessionFor(turn, event.place, false);
       return;
     case DriveEventKind.AdmissionRefused:
-      if (drive.phase !== DrivePhase.AwaitingAdmission) return;
+      if (machine.phase !== DrivePhase.AwaitingAdmission) return;
       refuse(turn, NOT_ADMITTED.of({ service, reason: event.reason }), event.retryAfterMs);
       return;
     case DriveEventKind.LoneRunReplied:
-      if (drive.phase === DrivePhase.AwaitingLoneRun) onLoneRunReply(turn, event);
+      if (machine.phase === DrivePhase.AwaitingLoneRun) onLoneRunReply(turn, event);
       return;
     case DriveEventKind.SessionOpened:
-      if (drive.phase !== DrivePhase.OpeningSession) return;
-      takeSession(turn, event.sessionId, event.sequence);
+      if (machine.phase !== DrivePhase.OpeningSession) return;
+      onSessionOpened(turn, event.sessionId, event.sequence);
       return;
     case DriveEventKind.SessionFailed:
-      if (drive.phase !== DrivePhase.OpeningSession) return;
-      drive.avoidTargets = [...drive.avoidTargets, drive.place?.target ?? ''];
+      if (machine.phase !== DrivePhase.OpeningSession) return;
+      machine.avoidTargets = [...machine.avoidTargets, machine.place?.target ?? ''];
       backOff(turn, context.options.reattachAfterMs);
       return;
     case DriveEventKind.ClaimReplied:
-      if (drive.phase === DrivePhase.Claiming) onClaimReply(turn, event);
+      if (machine.phase === DrivePhase.Claiming) onClaimReply(turn, event);
   }
 }
 
@@ -201,8 +206,8 @@
 ): void {
   if (event.outcome === LoneRunOutcome.Convicted) convict(turn, event.crashes);
   else if (event.outcome === LoneRunOutcome.Granted && event.place !== null) {
-    turn.drive.loneIncarnation = event.sidecarIncarnation;
-    takePlace(turn, event.place, true);
+    turn.machine.loneRunIncarnation = event.sidecarIncarnation;
+    openSessionFor(turn, event.place, true);
   } else backOff(turn, event.retryAfterMs);
 }
 
@@ -210,14 +215,14 @@
   turn: Turn,
   event: Extract<DriveEvent, { kind: DriveEventKind.ClaimReplied }>,
 ): void {
-  const { drive } = turn;
-  const { service, bodyHash } = drive.request;
+  const { machine } = turn;
+  const { service, bodyHash } = machine.request;
   if (event.outcome === ClaimOutcome.Granted) {
     emit(turn, EventKind.ClaimTaken, 'the call may not be repeated');
     noteAttempt(turn);
     return;
   }
-  abandonPrepared(turn);
+  abandonPreparedAttempt(turn);
   if (event.outcome === ClaimOutcome.Unavailable || event.holder === null) {
     emit(turn, EventKind.ClaimRefused, 'the key-value service is out');
     refuse(turn, CLAIM_UNAVAILABLE.of({ service }), event.retryAfterMs);
@@ -228,85 +233,87 @@
     return;
   }
   const attempts = [event.holder.attempt];
-  drive.known = joinRecords(drive.known, { ...drive.known, attempts });
-  decide(turn);
+  machine.known = joinRecords(machine.known, { ...machine.known, attempts });
+  startNextStep(turn);
 }
 
 function onHolderReply(turn: Turn, roundId: number, from: string, reply: HolderReply): void {
-  if (takeReply(turn, roundId, from, reply)) onRoundProgress(turn);
+  if (acceptReply(turn, roundId, from, reply)) onRoundProgress(turn);
 }
 
 function onRoundProgress(turn: Turn): void {
-  const { drive, context } = turn;
+  const { machine, context } = turn;
   const { options } = context;
-  if (drive.round === null) return;
-  switch (drive.phase) {
+  if (machine.round === null) return;
+  switch (machine.phase) {
     case DrivePhase.Creating:
       onCreateProgress(turn);
       return;
     case DrivePhase.Noting:
-      if (options.mayProceed(drive.round.replies, roundTargets(turn))) dispatch(turn);
-      else if (someReply(turn, HolderReplyKind.Conflict)) onNoteConflict(turn);
-      else if (roundIsComplete(turn)) resolveNote(turn);
+      if (options.mayProceed(machine.round.replies, roundMembers(turn))) dispatchAttempt(turn);
+      else if (hasReplyOfKind(turn, HolderReplyKind.Conflict)) onNoteConflict(turn);
+      else if (roundIsComplete(turn)) resolveNoteConflict(turn);
       return;
     case DrivePhase.Reconciling:
-      if (roundIsComplete(turn)) decide(turn);
+      if (roundIsComplete(turn)) startNextStep(turn);
       return;
     case DrivePhase.Convicting:
       if (roundIsComplete(turn)) onConvicted(turn);
       return;
     case DrivePhase.Releasing:
-      if (roundIsComplete(turn)) tellRefusal(turn, runStateOf(turn));
+      if (roundIsComplete(turn)) sendRefusal(turn, runStateOf(turn));
       return;
     default:
   }
 }
 
-/** Another request took the key at a holder that had lost this one's record. */
+/**
+ * Refuses the request because a holder that had lost its record gave the key to another request.
+ */
 function onNoteConflict(turn: Turn): void {
-  abandonPrepared(turn);
-  refuse(turn, KEY_CONFLICT.of({ service: turn.drive.request.service }), 0);
+  abandonPreparedAttempt(turn);
+  refuse(turn, KEY_CONFLICT.of({ service: turn.machine.request.service }), 0);
 }
 
 function onCreateProgress(turn: Turn): void {
-  const { drive, context } = turn;
-  const { service } = drive.request;
+  const { machine, context } = turn;
+  const { service } = machine.request;
   const replies = new Map<string, HolderReply>();
-  for (const [member, reply] of drive.round?.replies ?? []) {
-    const isThere = reply.kind === HolderReplyKind.Standing;
-    replies.set(member, isThere ? { ...reply, kind: HolderReplyKind.Done } : reply);
-    const isAbsent = (reply.record?.attempts.length ?? 0) === 0;
+  for (const [member, reply] of machine.round?.replies ?? []) {
+    const isExisting = reply.kind === HolderReplyKind.Standing;
+    replies.set(member, isExisting ? { ...reply, kind: HolderReplyKind.Done } : reply);
+    const hasNoAttempt = (reply.record?.attempts.length ?? 0) === 0;
     const isOldEnough = reply.upForMs >= context.options.absenceHorizonMs;
-    if (isAbsent && isOldEnough) drive.absentAt.add(member);
+    if (hasNoAttempt && isOldEnough) machine.absentAt.add(member);
   }
-  if (someReply(turn, HolderReplyKind.Conflict)) {
+  if (hasReplyOfKind(turn, HolderReplyKind.Conflict)) {
     refuse(turn, KEY_CONFLICT.of({ service }), 0);
     return;
   }
-  if (someReply(turn, HolderReplyKind.Full)) {
+  if (hasReplyOfKind(turn, HolderReplyKind.Full)) {
     refuse(turn, RECORDS_FULL.of({ service }), context.options.retryAfterMs);
     return;
   }
-  if (!context.options.mayProceed(replies, roundTargets(turn))) return;
+  if (!context.options.mayProceed(replies, roundMembers(turn))) return;
   emit(turn, EventKind.RequestAccepted, 'every holder has the record');
-  decide(turn);
+  startNextStep(turn);
 }
 
 function onConvicted(turn: Turn): void {
-  const { drive } = turn;
-  const { answer } = drive.known;
-  const failure = drive.known.failure ?? drive.pendingFailure;
-  if (answer !== null) reconcile(turn, answer);
-  else if (failure !== null) tellFinalFailure(turn, failure);
+  const { machine } = turn;
+  const { answer } = machine.known;
+  const failure = machine.known.failure ?? machine.pendingFailure;
+  if (answer !== null) reconcileAnswer(turn, answer);
+  else if (failure !== null) sendFinalFailure(turn, failure);
 }
 
 function onMembersChanged(turn: Turn): void {
-  const { drive, context } = turn;
-  if (drive.round !== null) {
-    askMissing(turn);
+  const { machine, context } = turn;
+  if (machine.round !== null) {
+    callMissingMembers(turn);
     onRoundProgress(turn);
   }
-  const sidecar = drive.attempt?.sidecar;
-  if (drive.phase !== DrivePhase.Streaming || sidecar === undefined) return;
-  if (!context.isLive(sidecar)) lossOfTarget(turn);
+  const sidecar = machine.attempt?.sidecar;
+  if (machine.phase !== DrivePhase.Streaming || sidecar === undefined) return;
+  if (!context.isLive(sidecar)) onSidecarLost(turn);
 }
--- a/packages/coordination/src/core/records/entry-sessions.ts
+++ b/packages/coordination/src/core/records/entry-sessions.ts
@@ -1,9 +1,9 @@
 /**
- * An entry's side of the dispatch sessions: the session it has at each sidecar and the number of
- * its last dispatch there. Bounded; a forgotten session is simply asked for again.
+ * Tracks the dispatch sessions of an entry: its session at each sidecar and the sequence number of
+ * its last dispatch there. The table is bounded; an evicted session is requested again when needed.
  */
 
-/** One session as the entry knows it. */
+/** A session at one sidecar. */
 interface KnownSession {
   readonly sessionId: string;
   lastSequence: number;
@@ -15,12 +15,15 @@
   readonly maxSidecars: number;
 }
 
-/** No sessions. */
+/** Creates an empty table of sessions. */
 export function createEntrySessions(maxSidecars: number): EntrySessions {
   return { bySidecar: new Map(), maxSidecars };
 }
 
-/** The session at hand and the number for the next dispatch; null when one must be asked for. */
+/**
+ * Returns the session at a sidecar and the sequence number of the next dispatch, or null if the
+ * entry has no session there and must request one.
+ */
 export function takeSequence(
   sessions: EntrySessions,
   sidecar: string,
@@ -33,17 +36,19 @@
   return { sessionId: known.sessionId, sequence: known.lastSequence };
 }
 
-/** Keeps a session that a sidecar gave; the same one again keeps its count. */
+/**
+ * Stores a session issued by a sidecar; a session that is already known keeps its sequence number.
+ */
 export function rememberSession(sessions: EntrySessions, sidecar: string, sessionId: string): void {
   const known = sessions.bySidecar.get(sidecar);
   if (known?.sessionId === sessionId) return;
   sessions.bySidecar.set(sidecar, { sessionId, lastSequence: 0 });
-  const oldest = sessions.bySidecar.keys().next().value;
-  const isOver = sessions.bySidecar.size > sessions.maxSidecars;
-  if (isOver && oldest !== undefined) sessions.bySidecar.delete(oldest);
+  const leastRecentlyUsed = sessions.bySidecar.keys().next().value;
+  const isOverLimit = sessions.bySidecar.size > sessions.maxSidecars;
+  if (isOverLimit && leastRecentlyUsed !== undefined) sessions.bySidecar.delete(leastRecentlyUsed);
 }
 
-/** Drops the session with a sidecar, which restarted or refused it. */
+/** Drops the session at a sidecar that restarted or rejected the session. */
 export function forgetSession(sessions: EntrySessions, sidecar: string): void {
   sessions.bySidecar.delete(sidecar);
 }
--- a/packages/coordination/src/core/records/messages.ts
+++ b/packages/coordination/src/core/records/messages.ts
@@ -1,20 +1,20 @@
 /**
- * What entries, holders and sidecars say to each other about requests. JSON data throughout.
+ * Messages about requests that entries, holders and sidecars exchange. All of them are JSON data.
  */
 import type { Failure } from '../failures/failure.js';
 import type { Answer, AnswerEnding, Attempt, RequestRecord } from './record.js';
 
-/** Calls to a holder of a record. */
+/** Kinds of calls to a holder of a record. */
 export enum HolderCallKind {
-  /** First writer wins; the existing record comes back to all others. */
+  /** Creates the record. The first writer wins; later writers receive the existing record. */
   Create = 'record.create',
-  /** Notes an attempt before it is dispatched. */
+  /** Adds an attempt to the record before the attempt is dispatched. */
   Note = 'record.note',
-  /** Brings the whole answer, or the final failure. */
+  /** Stores the complete answer or the final failure. */
   Finish = 'record.finish',
-  /** Joins another copy into this one. */
+  /** Merges another copy into the holder's copy. */
   Restore = 'record.restore',
-  /** Takes back a record of which nothing was ever dispatched. */
+  /** Deletes a record of which no attempt was ever dispatched. */
   Release = 'record.release',
   Read = 'record.read',
 }
@@ -26,7 +26,9 @@
       readonly kind: HolderCallKind.Note;
       readonly record: RequestRecord;
       readonly attempt: Attempt;
-      /** The attempt that it follows; the holder refuses when it knows another one. */
+      /**
+       * The attempt it follows; the holder rejects the call if its latest attempt is another one.
+       */
       readonly previousId: string | null;
     }
   | {
@@ -43,122 +45,133 @@
     }
   | { readonly kind: HolderCallKind.Read; readonly keyText: string };
 
-/** How a holder answers. */
+/** Kinds of replies of a holder. */
 export enum HolderReplyKind {
-  /** Done as asked; `record` is the state after it. */
+  /** The call was applied; `record` is the resulting state. */
   Done = 'done',
-  /** Not done since another state stands; `record` is that state. */
+  /**
+   * The call was not applied because the holder already has another state; `record` is that state.
+   */
   Standing = 'standing',
-  /** The key is in use with another body. */
+  /** The key is in use for a different body. */
   Conflict = 'conflict',
-  /** Nothing is known of the key. */
+  /** The holder has no record for the key. */
   Absent = 'absent',
-  /** No room for a new record; come back after `retryAfterMs`. */
+  /** The holder has no room for a new record; retry after `retryAfterMs`. */
   Full = 'full',
 }
 
-/** A holder's answer to any call. */
+/** A holder's reply to any call. */
 export interface HolderReply {
   readonly kind: HolderReplyKind;
   readonly record: RequestRecord | null;
   readonly retryAfterMs: number;
-  /** For how long this holder has kept its memory, by its own clock. */
+  /** Time since this holder started with an empty memory, by its own clock. */
   readonly upForMs: number;
 }
 
-/** Hands an attempt to a sidecar; opens its stream from `attempt.startIndex`. */
+/** Dispatches an attempt to a sidecar and opens its stream at `attempt.startIndex`. */
 export interface DispatchMessage {
   readonly attempt: Attempt;
-  /** The record as noted, from which the sidecar writes the finish even to holders that lost it. */
+  /**
+   * The record with the attempt. The sidecar needs it to store the result on holders that lost it.
+   */
   readonly record: RequestRecord;
-  /** Tokens of earlier attempts, to go on from; they count as sent or buffered. */
+  /** Tokens of earlier attempts to continue from; they are already sent or buffered. */
   readonly continueFrom: readonly string[];
-  /** The request for the engine or plain service; opaque to the decisions. */
+  /** The request for the engine or plain service; not interpreted here. */
   readonly payload: unknown;
   readonly remainingMs: number;
 }
 
-/** Joins a stream that runs, or its kept end, from a token index. */
+/** Attaches to a running stream, or to the retained result of an ended one, at a token index. */
 export interface AttachMessage {
   readonly attempt: Attempt;
   readonly record: RequestRecord;
   readonly fromIndex: number;
 }
 
-/** Asks a sidecar for a session; the one that the entry's incarnation has already comes back. */
+/**
+ * Requests a session from a sidecar, which returns the existing session of the entry's incarnation.
+ */
 export interface OpenSessionMessage {
-  /** Member id and incarnation of the entry, as one text. */
+  /** Member id and incarnation of the entry, in one string. */
   readonly entryIncarnation: string;
 }
 
-/** Takes a dispatch back unless the sidecar received it already. */
+/** Cancels a dispatch unless the sidecar has already received it. */
 export interface CancelMessage {
   readonly attempt: Attempt;
 }
 
-/** What taking back came to. */
+/** Result of cancelling a dispatch. */
 export enum CancelOutcome {
-  /** It did not and will not run here: a late dispatch will be refused. */
+  /** The attempt has not run here and never will: a dispatch that arrives late is rejected. */
   NeverRuns = 'never-runs',
   Started = 'started',
-  /** Not known to this incarnation, and an earlier one may have run it. */
+  /** This incarnation does not know the attempt, but an earlier one may have run it. */
   Unknown = 'unknown',
 }
 
 /** Why a stream ended without an answer. */
 export enum StreamFailureReason {
-  /** The connection broke; the stream itself may run on. */
+  /** The connection broke; the stream itself may still be running. */
   ConnectionLost = 'connection-lost',
-  /** The dispatch named a session that this incarnation did not give or has dropped. */
+  /** The dispatch named a session that this incarnation did not issue or has dropped. */
   SessionRequired = 'session-required',
-  /** This dispatch is older than the session's window. */
+  /** The sequence number of the dispatch is below the session's window. */
   TooOld = 'too-old',
-  /** The sidecar takes no new work now. */
+  /** The sidecar does not accept new work at the moment. */
   Busy = 'busy',
-  /** Taken back before it started. */
+  /** The attempt was cancelled before it started. */
   Cancelled = 'cancelled',
-  /** This incarnation knows no such attempt and its engine has no such stream. */
+  /** Neither this incarnation nor its engine knows the attempt. */
   Lost = 'lost',
-  /** The engine failed this stream, alone. */
+  /** The engine failed this stream only. */
   EngineFailed = 'engine-failed',
-  /** The engine crashed with everything that it ran. */
+  /** The engine crashed, which ended all of its streams. */
   EngineCrashed = 'engine-crashed',
-  /** Stopped since another target crashed on the same content. */
+  /** The stream was stopped because another target crashed on the same content. */
   Suspected = 'suspected',
-  /** A later attempt or another answer stands at the holders: see `record`. */
+  /** The holders have a later attempt or another answer; see `record`. */
   Superseded = 'superseded',
   /** The deadline passed before it started. */
   Expired = 'expired',
 }
 
-/** A failed stream as the entry sees it. */
+/** Failure of a stream as reported to the entry. */
 export interface StreamFailure {
   readonly reason: StreamFailureReason;
-  /** False only when this attempt did not and will never run. */
+  /** False only if this attempt has not run and never will. */
   readonly mayHaveRun: boolean;
   readonly record: RequestRecord | null;
   readonly retryAfterMs: number;
 }
 
-/** The whole end of a stream, told only once every holder has it. */
+/** The end of a complete stream, sent only after every holder has stored the answer. */
 export interface StreamEnd {
   readonly ending: AnswerEnding;
-  /** Number of tokens in the whole answer. */
+  /** Number of tokens in the complete answer. */
   readonly tokenCount: number;
 }
 
-/** What a sidecar says of a lone run when asked; a dead one says `gone`. */
+/**
+ * State of a lone run, which is an attempt that runs on a target without any other request, as its
+ * sidecar reports it. The state is `gone` if the sidecar is dead.
+ */
 export enum LoneProbe {
   Running = 'running',
-  /** Over without a crash; or it will never begin. */
+  /** The run ended without a crash, or will never start. */
   Over = 'over',
-  /** It crashed its engine; the report may still be under way. */
+  /** The run crashed its engine; the crash report may not have arrived yet. */
   Crashed = 'crashed',
-  /** The sidecar is dead or restarted: it may have crashed its target. */
+  /** The sidecar is dead or has restarted, so the run may have crashed its target. */
   Gone = 'gone',
 }
 
-/** Asks a sidecar what became of a lone run, and forbids it if it has not come. */
+/**
+ * Queries the state of a lone run at its sidecar, and prevents the run if it has not arrived there.
+ */
 export interface ProbeMessage {
   readonly attemptId: string;
   readonly sidecarIncarnation: string;
--- a/packages/coordination/src/core/records/options.ts
+++ b/packages/coordination/src/core/records/options.ts
@@ -1,5 +1,5 @@
 /**
- * Ordinary bounds of the request machines, with the reason for each, and all guards in place.
+ * Default limits, timeouts and decision functions of the request state machines.
  */
 import { DEFAULT_AGGREGATOR_OPTIONS } from '../claims/aggregator.js';
 import type { ClaimClientOptions } from '../claims/client.js';
@@ -19,17 +19,18 @@
 import { judgeSequence } from './sessions.js';
 
 /**
- * Holders answer within milliseconds. One that can't be reached is asked every half second, for six
- * seconds: a second longer than membership takes to notice its death. One that is reached and silent
- * is slow; it is asked after two and four seconds more, since a connection may be dead unnoticed.
+ * Holders normally reply within milliseconds. An unreachable holder is called again every half
+ * second for six seconds, which is one second longer than membership needs to detect its death. A
+ * holder that is reachable but does not reply is slow; it is called again after two and after four
+ * seconds, in case its connection is dead without a visible error.
  */
 export const DEFAULT_DRIVE_OPTIONS: DriveOptions = {
   retry: DEFAULT_RETRY_OPTIONS,
-  holderTimeoutMs: 500,
-  holderRounds: 12,
-  holderRepeatRounds: 4,
+  holderWaitMs: 500,
+  maxHolderWaits: 12,
+  waitsPerHolderRepeat: 4,
   reattachAfterMs: 100,
-  reattachTries: 10,
+  maxReattachTries: 10,
   cancelTimeoutMs: 1000,
   retryAfterMs: 1000,
   settleMs: 15_000,
@@ -44,13 +45,17 @@
 };
 
 /**
- * A reply is of use as long as its round waits. Thrown away earlier, it is asked for again, and a
- * holder whose line is longer than the limit answers nobody though it works all the time.
+ * Timeout of a call to a holder: as long as its round waits, because a reply is useful until then.
+ * With a shorter timeout the call would be repeated, and a holder whose queue is longer than the
+ * timeout would be busy all the time without answering any caller.
  */
 export const HOLDER_CALL_TIMEOUT_MS =
-  DEFAULT_DRIVE_OPTIONS.holderTimeoutMs * DEFAULT_DRIVE_OPTIONS.holderRounds;
+  DEFAULT_DRIVE_OPTIONS.holderWaitMs * DEFAULT_DRIVE_OPTIONS.maxHolderWaits;
 
-/** 24 MB leave a member within its 32 MB for control; a fifth is kept for ends. */
+/**
+ * 24 MB for records keep a member within its 32 MB for control data. A fifth of it is reserved for
+ * answers and failures of requests that were already accepted.
+ */
 export const DEFAULT_HOLDER_OPTIONS: HolderOptions = {
   maxRecords: 20_000,
   maxBytes: 24_000_000,
@@ -64,8 +69,9 @@
 };
 
 /**
- * 200 records a tick: at ten ticks a second a member's records are restored within seconds. 64 under
- * way to a member keep that pace at answers within 30 ms, and slow down where it is slower.
+ * At 200 records per tick and ten ticks per second, the records of a member are restored within
+ * seconds. At most 64 unanswered calls per member sustain that rate if replies take up to 30 ms,
+ * and reduce it if the member is slower.
  */
 export const DEFAULT_REPAIR_OPTIONS: RepairOptions = {
   repairsPerTick: 200,
@@ -74,7 +80,7 @@
   handoverGraceMs: 30_000,
 };
 
-/** One session an entry; the window is far beyond the dispatches that can overtake each other. */
+/** One session per entry; the window is far larger than the reordering of dispatches can get. */
 export const DEFAULT_HOST_OPTIONS: HostOptions = {
   sessions: { maxSessions: 1024, windowSize: 4096 },
   maxAttempts: 2000,
@@ -93,14 +99,14 @@
   leavesAlone,
 };
 
-/** Longer than the aggregator's own limit, so that its refusal arrives before this one. */
+/** Gives up later than the aggregator, so the aggregator's refusal arrives before this timeout. */
 export const DEFAULT_CLAIM_CLIENT_OPTIONS: ClaimClientOptions = {
   resendAfterMs: 1000,
   giveUpAfterMs: DEFAULT_AGGREGATOR_OPTIONS.giveUpAfterMs + 1000,
   maxPending: 2000,
 };
 
-/** Crashes are rare; a report outlives an outage of an hour. */
+/** Crashes are rare; a crash report is retried long enough to survive an outage of one hour. */
 export const DEFAULT_POISON_OPTIONS: PoisonOptions = {
   maxOperations: 1000,
   retryMs: 500,
--- a/packages/coordination/test/core/records/drive-rounds.test.ts
+++ b/packages/coordination/test/core/records/drive-rounds.test.ts
@@ -1,7 +1,7 @@
 /**
- * Story: holders are slow, not gone. An entry that puts its question again and again makes them
- * slower, and callers who left long ago make it ask still; it shows as calls to holders that outnumber
- * the requests by hundreds to one, and as refusals that name holders which live.
+ * Guards against overloading slow holders. An entry that repeats its calls too often makes a slow
+ * holder slower, and machines of disconnected callers keep calling it. The calls then outnumber the
+ * requests by hundreds to one, and requests are refused because of holders that are alive.
  */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
@@ -14,13 +14,13 @@
 import { DEFAULT_DRIVE_OPTIONS } from '../../../src/core/records/options.js';
 import { hash32, makeRecord } from '../../fixtures/requests.js';
 
-/** A request whose holders do not answer, in virtual time. */
-class Waiting {
+/** Runs a request whose holders do not reply, in simulated time. */
+class UnansweredRequest {
   nowMs = 0;
   holders = ['a', 'b'];
-  readonly asked: string[] = [];
+  readonly calledHolders: string[] = [];
   refused = false;
-  readonly drive: RequestDrive;
+  readonly machine: RequestDrive;
   private readonly timers: { readonly atMs: number; readonly event: DriveEvent }[] = [];
 
   constructor() {
@@ -35,12 +35,12 @@
       deadlineMs: 60_000,
       resume: null,
     };
-    this.drive = createDrive('entry-1#1~1', request, 0);
+    this.machine = createDrive('entry-1#1~1', request, 0);
     this.feed({ kind: DriveEventKind.CallerArrived });
   }
 
   feed(event: DriveEvent): void {
-    const effects = handleDriveEvent(this.drive, event, {
+    const effects = handleDriveEvent(this.machine, event, {
       nowMs: this.nowMs,
       random: () => 0,
       hash32,
@@ -52,7 +52,7 @@
       suspicion: () => Suspicion.None,
       provesAbsence: () => false,
     });
-    for (const effect of effects) this.take(effect);
+    for (const effect of effects) this.apply(effect);
   }
 
   run(forMs: number): void {
@@ -68,8 +68,8 @@
     this.nowMs = endMs;
   }
 
-  private take(effect: DriveEffect): void {
-    if (effect.kind === DriveEffectKind.CallHolder) this.asked.push(effect.to);
+  private apply(effect: DriveEffect): void {
+    if (effect.kind === DriveEffectKind.CallHolder) this.calledHolders.push(effect.to);
     if (effect.kind === DriveEffectKind.TellRefusal) this.refused = true;
     if (effect.kind !== DriveEffectKind.SetTimer || effect.timer !== DriveTimer.Holders) return;
     const { timer, timerId, afterMs } = effect;
@@ -78,47 +78,50 @@
   }
 }
 
-describe('a round of holders that do not answer', () => {
-  it('puts its question at most three times to each within its patience', () => {
-    const waiting = new Waiting();
-    waiting.run(10_000);
-    assert.equal(waiting.refused, true);
-    assert.ok(waiting.asked.length <= 6, `asked ${String(waiting.asked.length)} times`);
+describe('a round whose holders do not reply', () => {
+  it('calls each holder at most three times before it gives up', () => {
+    const request = new UnansweredRequest();
+    request.run(10_000);
+    assert.equal(request.refused, true);
+    assert.ok(
+      request.calledHolders.length <= 6,
+      `called ${String(request.calledHolders.length)} times`,
+    );
   });
 
-  describe('members that change while it waits', () => {
-    it('do not make it ask again who was asked', () => {
-      const waiting = new Waiting();
+  describe('membership changes during the round', () => {
+    it('do not repeat pending calls', () => {
+      const request = new UnansweredRequest();
       for (let change = 0; change < 20; change += 1) {
-        waiting.feed({ kind: DriveEventKind.MembersChanged });
+        request.feed({ kind: DriveEventKind.MembersChanged });
       }
-      assert.deepEqual(waiting.asked, ['a', 'b']);
+      assert.deepEqual(request.calledHolders, ['a', 'b']);
     });
 
-    it('do not use its patience up', () => {
-      const waiting = new Waiting();
+    it('do not make it give up earlier', () => {
+      const request = new UnansweredRequest();
       for (let change = 0; change < 20; change += 1) {
-        waiting.feed({ kind: DriveEventKind.MembersChanged });
-        waiting.run(100);
+        request.feed({ kind: DriveEventKind.MembersChanged });
+        request.run(100);
       }
-      assert.equal(waiting.refused, false);
+      assert.equal(request.refused, false);
     });
 
-    it('make it ask a holder that is new at once', () => {
-      const waiting = new Waiting();
-      waiting.holders = ['a', 'c'];
-      waiting.feed({ kind: DriveEventKind.MembersChanged });
-      assert.deepEqual(waiting.asked, ['a', 'b', 'c']);
+    it('make it call a new holder immediately', () => {
+      const request = new UnansweredRequest();
+      request.holders = ['a', 'c'];
+      request.feed({ kind: DriveEventKind.MembersChanged });
+      assert.deepEqual(request.calledHolders, ['a', 'b', 'c']);
     });
   });
 
-  describe('a caller who leaves before the request is accepted', () => {
-    it('ends it: nothing was promised, and the caller comes back with its key', () => {
-      const waiting = new Waiting();
-      waiting.feed({ kind: DriveEventKind.CallerGone });
-      waiting.run(10_000);
-      assert.equal(waiting.drive.phase, DrivePhase.Done);
-      assert.deepEqual(waiting.asked, ['a', 'b']);
+  describe('a caller that disconnects before the request is accepted', () => {
+    it('ends the round, because nothing was promised and the caller can retry with its key', () => {
+      const request = new UnansweredRequest();
+      request.feed({ kind: DriveEventKind.CallerGone });
+      request.run(10_000);
+      assert.equal(request.machine.phase, DrivePhase.Done);
+      assert.deepEqual(request.calledHolders, ['a', 'b']);
     });
   });
 });
--- a/packages/coordination/test/core/records/drive.test.ts
+++ b/packages/coordination/test/core/records/drive.test.ts
@@ -1,4 +1,4 @@
-/** The entry's request machine, step by step; the fuzzer tries what no list of steps holds. */
+/** Tests the request machine of an entry step by step; the fuzzer covers other orders of events. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { RunState } from '../../../src/core/model/outcome.js';
@@ -24,9 +24,9 @@
 
 const UP_FOR_MS = 1e9;
 
-/** Drives one machine by hand; remembers the effects of the last step. */
+/** Feeds events to one machine and keeps the effects of the last event. */
 class Script {
-  readonly drive: RequestDrive;
+  readonly machine: RequestDrive;
   effects: readonly DriveEffect[] = [];
   live = true;
   suspicion = Suspicion.None;
@@ -44,7 +44,7 @@
       resume: null,
       ...overrides,
     };
-    this.drive = createDrive('entry-1#1~1', request, 0);
+    this.machine = createDrive('entry-1#1~1', request, 0);
   }
 
   feed(event: DriveEvent): this {
@@ -61,13 +61,13 @@
       suspicion: () => this.suspicion,
       provesAbsence: () => this.provesAbsence,
     };
-    this.effects = handleDriveEvent(this.drive, event, context);
+    this.effects = handleDriveEvent(this.machine, event, context);
     return this;
   }
 
   reply(from: string, record: RequestRecord | null, kind = HolderReplyKind.Done): this {
     const reply = { kind, record, retryAfterMs: 0, upForMs: UP_FOR_MS };
-    const roundId = this.drive.round?.id ?? -1;
+    const roundId = this.machine.round?.id ?? -1;
     return this.feed({ kind: DriveEventKind.HolderReplied, roundId, from, reply });
   }
 
@@ -81,11 +81,11 @@
 
   admit(): this {
     const place = { sidecar: 'sidecar-1', target: 'target-1' };
-    return this.feed({ kind: DriveEventKind.Admitted, askId: this.drive.askId, place });
+    return this.feed({ kind: DriveEventKind.Admitted, askId: this.machine.askId, place });
   }
 
   session(): this {
-    const { askId } = this.drive;
+    const { askId } = this.machine;
     return this.feed({
       kind: DriveEventKind.SessionOpened,
       askId,
@@ -94,32 +94,32 @@
     });
   }
 
-  /** From arrival to the dispatch of the first attempt. */
+  /** Runs the machine from the arrival of the caller to the dispatch of the first attempt. */
   dispatched(): this {
     this.arrive()
-      .replies(makeRecord({ creationId: this.drive.id }))
+      .replies(makeRecord({ creationId: this.machine.id }))
       .admit()
       .session();
     return this.replies(makeRecord({ attempts: this.ownAttempts() }));
   }
 
   ownAttempts(): Attempt[] {
-    return this.drive.attempt === null ? [] : [this.drive.attempt];
+    return this.machine.attempt === null ? [] : [this.machine.attempt];
   }
 
   tokens(index: number, tokens: readonly string[]): this {
-    const { connectionId } = this.drive;
+    const { connectionId } = this.machine;
     return this.feed({ kind: DriveEventKind.StreamTokens, connectionId, index, tokens });
   }
 
   fails(reason: StreamFailureReason, mayHaveRun: boolean): this {
     const failure = { reason, mayHaveRun, record: null, retryAfterMs: 0 };
-    const { connectionId } = this.drive;
+    const { connectionId } = this.machine;
     return this.feed({ kind: DriveEventKind.StreamFailed, connectionId, failure });
   }
 
   fire(timer: DriveTimer): this {
-    const timerId = this.drive.timerIds.get(timer) ?? -1;
+    const timerId = this.machine.timerIds.get(timer) ?? -1;
     return this.feed({ kind: DriveEventKind.TimerFired, timer, timerId });
   }
 
@@ -132,16 +132,16 @@
   }
 }
 
-describe('drive', () => {
+describe('request machine', () => {
   describe('before the dispatch', () => {
-    it('asks for admission only when both holders have the record', () => {
+    it('requests admission only after both holders have the record', () => {
       const script = new Script().arrive().reply('a', makeRecord());
       assert.equal(script.effect(DriveEffectKind.AskAdmission), undefined);
       script.reply('b', makeRecord());
       assert.notEqual(script.effect(DriveEffectKind.AskAdmission), undefined);
     });
 
-    it('dispatches only when both holders have the attempt', () => {
+    it('dispatches an attempt only after both holders have recorded it', () => {
       const script = new Script().arrive().replies(makeRecord()).admit().session();
       script.reply('a', makeRecord({ attempts: script.ownAttempts() }));
       assert.equal(script.effect(DriveEffectKind.Dispatch), undefined);
@@ -149,14 +149,14 @@
       assert.equal(script.effect(DriveEffectKind.Dispatch)?.attempt.number, 1);
     });
 
-    it('says not-run only after the record was taken back, and unknown where memory was lost', () => {
+    it('reports not-run only after releasing the record, and unknown if records may be lost', () => {
       for (const [provesAbsence, expected] of [
         [true, RunState.NotRun],
         [false, RunState.Unknown],
       ] as const) {
         const script = new Script().arrive().replies(makeRecord());
         script.provesAbsence = provesAbsence;
-        const { askId } = script.drive;
+        const { askId } = script.machine;
         const kind = DriveEventKind.AdmissionRefused;
         script.feed({ kind, askId, reason: 'full', retryAfterMs: 700 });
         assert.equal(script.effect(DriveEffectKind.TellRefusal), undefined);
@@ -167,15 +167,15 @@
       }
     });
 
-    it('refuses the key with another body', () => {
+    it('refuses a key that is in use for a different body', () => {
       const script = new Script().arrive().reply('a', null, HolderReplyKind.Conflict).replies(null);
       const refusal = script.effect(DriveEffectKind.TellRefusal);
       assert.equal(refusal?.failure.name, 'idempotency-key-conflict');
     });
 
-    // Story: an entry restarts and is sent the content that crashed two targets an hour ago. It must
-    // not lose a third. Cause: it had not read the ledger yet.
-    it('waits until the ledger of suspects was read', () => {
+    // Guards against crashing a third target with content that has crashed two. A restarted entry
+    // receives such content before it has loaded the poison ledger.
+    it('waits until the poison ledger is loaded', () => {
       const script = new Script();
       script.suspicion = Suspicion.Unread;
       script.arrive().replies(makeRecord());
@@ -188,40 +188,40 @@
   });
 
   describe('a call that may not be repeated', () => {
-    // Story: two entries hold one key. While the second waits, a late reply brings in the first's
-    // attempt, which runs; the second claims over it, and the receipt is issued twice. Cause: the
-    // claim was asked for as if that attempt never ran.
-    it('does not claim over an attempt that came to light while it waited', () => {
+    // Guards against running a call twice. Two entries work on one key. While the second waits for
+    // admission, a late reply adds the running attempt of the first to its state. The second
+    // replaced the claim of that attempt as if the attempt would never run.
+    it('does not replace the claim of an attempt that it learned of while waiting', () => {
       const script = new Script({ repeatable: false }).arrive().replies(makeRecord());
       const running = makeAttempt('other/1');
-      script.drive.known = { ...script.drive.known, attempts: [running] };
+      script.machine.known = { ...script.machine.known, attempts: [running] };
       script.admit().session();
       assert.equal(script.effect(DriveEffectKind.TakeClaim)?.replacesId, null);
     });
 
-    it('claims before it notes, and joins the attempt that holds the claim', () => {
+    it('claims before recording the attempt, and attaches to the attempt that holds the claim', () => {
       const script = new Script({ repeatable: false }).arrive().replies(makeRecord());
       script.admit().session();
-      const { askId } = script.drive;
+      const { askId } = script.machine;
       const holder = { attempt: makeAttempt('other/1'), bodyHash: 'body' };
       const event = { kind: DriveEventKind.ClaimReplied, askId, retryAfterMs: 0 } as const;
       script.feed({ ...event, outcome: ClaimOutcome.Held, holder });
       assert.equal(script.effect(DriveEffectKind.Attach)?.attempt.id, 'other/1');
     });
 
-    it('is not run without the key-value service, and its refusal says so', () => {
+    it('is refused as not-run if the key-value service is unavailable', () => {
       const script = new Script({ repeatable: false }).arrive().replies(makeRecord());
       script.admit().session();
-      const { askId } = script.drive;
+      const { askId } = script.machine;
       const event = { kind: DriveEventKind.ClaimReplied, askId, holder: null } as const;
       script.feed({ ...event, outcome: ClaimOutcome.Unavailable, retryAfterMs: 5 }).replies(null);
       assert.equal(script.effect(DriveEffectKind.TellRefusal)?.runState, RunState.NotRun);
     });
 
-    it('is unknown, at once, when its target is lost after the dispatch', () => {
+    it('is refused as unknown immediately if its target is lost after the dispatch', () => {
       const script = new Script({ repeatable: false }).arrive().replies(makeRecord());
       script.admit().session();
-      const { askId } = script.drive;
+      const { askId } = script.machine;
       const event = { kind: DriveEventKind.ClaimReplied, askId, holder: null } as const;
       script.feed({ ...event, outcome: ClaimOutcome.Granted, retryAfterMs: 0 });
       script.replies(makeRecord({ repeatable: false, attempts: script.ownAttempts() }));
@@ -232,31 +232,32 @@
   });
 
   describe('a stream', () => {
-    it('that dies is gone on with from the tokens sent', () => {
+    it('that fails is continued by the next attempt after the tokens sent', () => {
       const script = new Script().dispatched().tokens(0, ['x', 'y']);
       script.fails(StreamFailureReason.EngineFailed, true).fire(DriveTimer.BackOff);
       script.admit().session();
-      const [first, second] = [script.drive.known.attempts[0], script.drive.attempt];
+      const [first, second] = [script.machine.known.attempts[0], script.machine.attempt];
       assert.equal(second?.startIndex, 2);
       const attempts = [first, second].filter((attempt) => attempt !== undefined);
       script.replies(makeRecord({ attempts }));
       assert.deepEqual(script.effect(DriveEffectKind.Dispatch)?.continueFrom, ['x', 'y']);
     });
 
-    // Story: a caller has read half of one attempt's text; its entry joins another attempt, the
-    // connection breaks before a token came, and is joined again in the middle: two halves that do
-    // not belong together. Cause: the second join took the first's comparison for done.
-    it('of another attempt is read from its first token until the texts were compared', () => {
+    // Guards against splicing the texts of two attempts. A caller has received part of one
+    // attempt's text when its entry attaches to another attempt. The connection breaks before the
+    // first token, and the entry attached again in the middle, as if the texts had already been
+    // compared.
+    it('of another attempt is read from its first token until the texts are compared', () => {
       const script = new Script().dispatched().tokens(0, ['x', 'y']);
       const later = makeAttempt('other/1', { number: 2 });
-      const record = makeRecord({ attempts: [...script.drive.known.attempts, later] });
+      const record = makeRecord({ attempts: [...script.machine.known.attempts, later] });
       const failure = {
         reason: StreamFailureReason.Superseded,
         mayHaveRun: true,
         record,
         retryAfterMs: 0,
       };
-      const { connectionId } = script.drive;
+      const { connectionId } = script.machine;
       script.feed({ kind: DriveEventKind.StreamFailed, connectionId, failure });
       assert.equal(script.effect(DriveEffectKind.Attach)?.fromIndex, 0);
       script.fails(StreamFailureReason.ConnectionLost, true).fire(DriveTimer.Reattach);
@@ -266,14 +267,14 @@
       assert.equal(refusal?.failure.name, 'answer-diverged');
     });
 
-    it('of a connection that was left is ignored', () => {
+    it('on an abandoned connection is ignored', () => {
       const script = new Script().dispatched();
       const kind = DriveEventKind.StreamTokens;
       script.feed({ kind, connectionId: 1, index: 0, tokens: ['crossed'] });
       assert.deepEqual(script.effects, []);
     });
 
-    it('that the deadline finds without a token is taken back, then refused', () => {
+    it('without a token at the deadline is cancelled and then refused', () => {
       const script = new Script().dispatched().fire(DriveTimer.Deadline);
       const attempt = script.effect(DriveEffectKind.CancelAttempt)?.attempt;
       const event = { kind: DriveEventKind.CancelReplied, attemptId: attempt?.id ?? '' } as const;
@@ -281,25 +282,25 @@
       assert.equal(script.effect(DriveEffectKind.TellRefusal)?.runState, RunState.NotRun);
     });
 
-    it('that the deadline finds running is told as running', () => {
+    it('that cannot be cancelled at the deadline is reported as running', () => {
       const script = new Script().dispatched().fire(DriveTimer.Deadline).fire(DriveTimer.Cancel);
       assert.equal(script.effect(DriveEffectKind.TellRefusal)?.runState, RunState.Running);
     });
   });
 
-  describe('a caller that returns', () => {
+  describe('a resuming caller', () => {
     const answer = makeAnswer(makeAttempt('a'), 0);
     const record = makeRecord({ answer });
     const firstHash = extendHash(hash32, 0, answer.tokens[0] ?? '');
 
-    it('gets the rest after the event that it names', () => {
+    it('receives the rest of the answer after its last event', () => {
       const resume = parseEventId(eventIdOf(1, firstHash));
       const script = new Script({ resume }).arrive().replies(record, HolderReplyKind.Standing);
       assert.deepEqual(script.effect(DriveEffectKind.TellTokens)?.tokens, ['a:1']);
       assert.notEqual(script.effect(DriveEffectKind.TellAnswer), undefined);
     });
 
-    it('is refused when the text differs from what it has read', () => {
+    it('is refused if the text differs from what it has received', () => {
       const resume = { index: 1, hash: firstHash + 1 };
       const script = new Script({ resume }).arrive().replies(record, HolderReplyKind.Standing);
       const refusal = script.effect(DriveEffectKind.TellRefusal);
@@ -307,7 +308,7 @@
       assert.equal(script.effect(DriveEffectKind.TellTokens), undefined);
     });
 
-    it('is told an answer only once all holders have committed it', () => {
+    it('receives an answer only after all holders have committed it', () => {
       const script = new Script().arrive();
       script.reply('a', makeRecord({ answer: makeAnswer(makeAttempt('a')) }));
       script.reply('b', makeRecord());
@@ -319,10 +320,11 @@
     });
   });
 
-  // Story: a target wakes from a pause and brings its answer to one holder, while the next attempt
-  // is read by a caller. Another caller of the key finds that answer, carries it to all holders, and
-  // the first caller is cut at the end. Cause: an answer that was not committed was taken for final.
-  it('leaves an uncommitted answer alone while a later attempt runs', () => {
+  // Guards against cutting off the caller of a later attempt. A paused target resumes and stores
+  // its answer on one holder while a caller reads the next attempt. Another caller of the key found
+  // that uncommitted answer and replicated it to all holders, which ended the stream of the first
+  // caller.
+  it('does not deliver an uncommitted answer while a later attempt runs', () => {
     const first = makeAttempt('other/1');
     const attempts = [first, makeAttempt('other/2', { number: 2 })];
     const record = makeRecord({ attempts, answer: makeAnswer(first) });
@@ -330,13 +332,14 @@
     assert.equal(script.effect(DriveEffectKind.Attach)?.attempt.id, 'other/2');
   });
 
-  // Story: one key is used for two bodies after both holders lost it. Each holder keeps another
-  // body, and both callers waited for ever. Cause: holders that never agreed were asked again.
-  it('gives up when the holders cannot agree on an answer', () => {
+  // Guards against callers that wait without end. A key is used for two bodies after both holders
+  // lost it, so each holder has a different body, and the machine kept calling holders that never
+  // agree.
+  it('gives up if the holders cannot agree on an answer', () => {
     const script = new Script().arrive();
     const record = makeRecord({ answer: makeAnswer(makeAttempt('a')) });
     script.replies(record, HolderReplyKind.Standing);
-    for (let round = 0; round <= DEFAULT_DRIVE_OPTIONS.holderRounds; round += 1) {
+    for (let round = 0; round <= DEFAULT_DRIVE_OPTIONS.maxHolderWaits; round += 1) {
       if (script.effect(DriveEffectKind.TellRefusal) !== undefined) break;
       script.reply('a', record).reply('b', null, HolderReplyKind.Full);
     }
--- a/packages/coordination/test/core/records/record.test.ts
+++ b/packages/coordination/test/core/records/record.test.ts
@@ -1,4 +1,7 @@
-/** Joining copies: commutative, associative, idempotent; committed answers stay. */
+/**
+ * Merging copies of a record is commutative, associative and idempotent, and keeps committed
+ * answers.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
@@ -10,7 +13,7 @@
   makeAttempt(id, { number: 1 + Math.floor(index / 2) }),
 );
 
-/** Ages far apart, as commits of different runs are. */
+/** Uses commit ages that are far apart, like those of different runs. */
 const arbitraryRecord: fc.Arbitrary<RequestRecord> = fc
   .record({
     attempts: fc.subarray(attempts),
@@ -27,7 +30,7 @@
 
 describe('records', () => {
   describe('joining', () => {
-    it('gives the same whichever copy comes first, and however often', () => {
+    it('gives the same result in any order and when repeated', () => {
       fc.assert(
         fc.property(arbitraryRecord, arbitraryRecord, arbitraryRecord, (first, second, third) => {
           const joined = joinRecords(first, second);
@@ -43,18 +46,18 @@
       );
     });
 
-    // Story: a caller was told the answer of a rerun; the first run, forgotten when both holders
-    // died, sends its answer a minute late. A resend must get what was told. Cause: the late answer
-    // had the higher attempt number.
+    // Guards against a resent request getting a different answer than the caller received before.
+    // Both holders of a run die, a rerun answers the caller, and the first run delivers its answer
+    // a minute later. The late answer won because its attempt had the higher number.
     it('keeps a committed answer over a later attempt that is not committed', () => {
-      const told = makeRecord({ answer: makeAnswer(makeAttempt('told'), 60_000) });
+      const delivered = makeRecord({ answer: makeAnswer(makeAttempt('told'), 60_000) });
       const late = makeRecord({ answer: makeAnswer(makeAttempt('late', { number: 2 })) });
-      assert.equal(joinRecords(late, told).answer?.attemptId, 'told');
+      assert.equal(joinRecords(late, delivered).answer?.attemptId, 'told');
       const lateCommit = makeRecord({ answer: makeAnswer(makeAttempt('late', { number: 2 }), 0) });
-      assert.equal(joinRecords(lateCommit, told).answer?.attemptId, 'told');
+      assert.equal(joinRecords(lateCommit, delivered).answer?.attemptId, 'told');
     });
 
-    it('keeps one of two requests that took the key at once, the same on both sides', () => {
+    it('keeps the same one of two requests that used a key concurrently, in either order', () => {
       const first = makeRecord({ creationId: 'x', bodyHash: 'one' });
       const second = makeRecord({ creationId: 'y', bodyHash: 'two' });
       assert.deepEqual(joinRecords(first, second), joinRecords(second, first));
@@ -62,7 +65,7 @@
   });
 
   describe('covering', () => {
-    it('holds for a join of both, and not for a copy that lacks the commit', () => {
+    it('holds for the merge of two copies but not for a copy that lacks the commit', () => {
       const attempt = makeAttempt('a');
       const prepared = makeRecord({ attempts: [attempt], answer: makeAnswer(attempt) });
       const committed = makeRecord({ attempts: [attempt], answer: makeAnswer(attempt, 0) });
