--- a/packages/coordination/src/core/scheduling/connections.ts
+++ b/packages/coordination/src/core/scheduling/connections.ts
@@ -1,56 +1,60 @@
 /**
- * Which engines a gateway has connections to, as far as this scheduler gave it work there. The load
- * pattern: many gateways before many engines. Each pair meets so seldom that its connection is closed
- * in between, so that nearly every request opens new ones: two crossings and an engine's time each.
+ * Tracks which gateways have open connections to which engines, based on the jobs that this
+ * scheduler placed. With many gateways and many engines, each pair exchanges requests so rarely
+ * that its idle connection is closed in between. Nearly every request would then open a new
+ * connection, which costs two network round trips and time on the engine.
  */
 
-/** Gateways that are remembered; far more than a service has. */
-const MAX_GATEWAYS = 2048;
+/** Upper bound on tracked gateways, far above the number that a service has. */
+const MAX_TRACKED_GATEWAYS = 2048;
 
-/** When each gateway was last given work at each engine, by gateway and engine. */
+/** Time at which each gateway last used each engine, by gateway and engine id. */
 export interface Connections {
-  readonly usedAtMs: Map<string, Map<string, number>>;
+  readonly lastUsedAtMs: Map<string, Map<string, number>>;
 }
 
-/** Nobody has connections. */
+/** Returns an empty connection table. */
 export function createConnections(): Connections {
-  return { usedAtMs: new Map() };
+  return { lastUsedAtMs: new Map() };
 }
 
-/** A gateway was given work at an engine, and has a connection there from now on. */
-export function noteConnection(
-  { usedAtMs }: Connections,
+/** Records that a gateway sends a job to an engine and therefore has a connection to it. */
+export function recordConnection(
+  { lastUsedAtMs }: Connections,
   gateway: string,
   engineId: string,
   nowMs: number,
 ): void {
-  const engines = usedAtMs.get(gateway) ?? new Map<string, number>();
-  // Moved to the end, so that the gateway that was silent for longest stands first.
-  usedAtMs.delete(gateway);
-  usedAtMs.set(gateway, engines);
+  const engines = lastUsedAtMs.get(gateway) ?? new Map<string, number>();
+  // Reinserted at the end so that the least recently used gateway is first in the map.
+  lastUsedAtMs.delete(gateway);
+  lastUsedAtMs.set(gateway, engines);
   engines.set(engineId, nowMs);
-  const oldest = usedAtMs.keys().next().value;
-  if (usedAtMs.size > MAX_GATEWAYS && oldest !== undefined) usedAtMs.delete(oldest);
+  const oldest = lastUsedAtMs.keys().next().value;
+  if (lastUsedAtMs.size > MAX_TRACKED_GATEWAYS && oldest !== undefined) lastUsedAtMs.delete(oldest);
 }
 
-/** Whether a gateway still has a connection to an engine; `keptMs` is how long an idle one stays. */
+/**
+ * Returns whether a gateway still has a connection to an engine. `keepAliveMs` is how long an idle
+ * connection stays open.
+ */
 export function hasConnection(
-  { usedAtMs }: Connections,
+  { lastUsedAtMs }: Connections,
   gateway: string,
   engineId: string,
-  keptMs: number,
+  keepAliveMs: number,
   nowMs: number,
 ): boolean {
-  const atMs = usedAtMs.get(gateway)?.get(engineId);
-  return atMs !== undefined && nowMs - atMs < keptMs;
+  const usedAtMs = lastUsedAtMs.get(gateway)?.get(engineId);
+  return usedAtMs !== undefined && nowMs - usedAtMs < keepAliveMs;
 }
 
-/** Forgets engines that are gone. */
-export function forgetConnections(
-  { usedAtMs }: Connections,
+/** Removes the connections to engines that are no longer present. */
+export function pruneConnections(
+  { lastUsedAtMs }: Connections,
   isPresent: (engineId: string) => boolean,
 ): void {
-  for (const engines of usedAtMs.values()) {
+  for (const engines of lastUsedAtMs.values()) {
     for (const engineId of engines.keys()) {
       if (!isPresent(engineId)) engines.delete(engineId);
     }
--- a/packages/coordination/src/core/scheduling/dispatching.ts
+++ b/packages/coordination/src/core/scheduling/dispatching.ts
@@ -1,46 +1,54 @@
 /**
- * Gives jobs to engines that have room: the best of an engine's own line, or where that is empty one
- * of another line that it would answer sooner.
+ * Dispatches queued jobs to engines with free capacity. Each engine takes the most valuable job of
+ * its own queue. If that queue is empty, it steals a job from another queue that it can answer
+ * sooner.
  */
 import { EnginePhase } from '../forwarding/fleet.js';
-import { noteConnection } from './connections.js';
-import { chooseStreamTarget } from './handover.js';
+import { recordConnection } from './connections.js';
+import { chooseDecodeEngine } from './handover.js';
 import { type Decision, DecisionKind } from './job.js';
-import { bestPlace, copyCostMs, hasReaders, makeOffer, mayRead, placeAt } from './placing.js';
-import { heldParts, notePrompt } from './prompt-cache.js';
-import { type Offer, compareOffers } from './ranking.js';
-import { type ReadCost, findHolders, readCost } from './read-cost.js';
+import {
+  choosePlacement,
+  copyPenaltyMs,
+  estimateService,
+  hasPrefillEngine,
+  mayPrefill,
+  predictPlacement,
+} from './placing.js';
+import { countCachedParts, recordPrompt } from './prompt-cache.js';
+import { type ServiceEstimate, compareRank } from './ranking.js';
+import { type PrefillCost, findCacheHolders, prefillCost } from './read-cost.js';
 import { rateLimitRefusal } from './rate-limited.js';
-import { remember } from './refusing.js';
-import type { Scheduler, Waiting } from './scheduler-state.js';
-import { noteServedSize } from './size-fairness.js';
+import { recordDecision } from './refusing.js';
+import type { QueuedJob, Scheduler } from './scheduler-state.js';
+import { recordServedSize } from './size-fairness.js';
 import {
   type TargetLoad,
-  beginReading,
-  hasRoom,
+  beginPrefill,
+  canDecode,
+  hasCapacity,
   isUsable,
-  makesTokens,
-  pendingReadMs,
+  pendingPrefillMs,
 } from './target-load.js';
-import { changeLine, lineOf } from './waiting-lines.js';
+import { moveToQueue, queueOf } from './waiting-lines.js';
 
-/** Gives each engine that has room its next job. */
+/** Starts queued jobs on every engine with free capacity. */
 export function dispatch(scheduler: Scheduler, nowMs: number): readonly Decision[] {
   const decisions: Decision[] = [];
-  decisions.push(...moveFromUnusable(scheduler, nowMs));
+  decisions.push(...requeueFromUnusable(scheduler, nowMs));
   if (scheduler.waiting.size === 0) return decisions;
-  const steals = maySteal(scheduler, nowMs);
-  const forDecode = steals ? jobsForDecode(scheduler, nowMs) : [];
+  const canSteal = claimStealTurn(scheduler, nowMs);
+  const decodeCandidates = canSteal ? jobsAllowedOnDecode(scheduler, nowMs) : [];
   for (const load of scheduler.targets.values()) {
     const isDecode = load.entry.phase === EnginePhase.Decode;
-    while (hasRoom(load, scheduler.options, nowMs)) {
-      const others = isDecode ? forDecode : scheduler.waiting.values();
+    while (hasCapacity(load, scheduler.options, nowMs)) {
+      const candidates = isDecode ? decodeCandidates : scheduler.waiting.values();
       const next =
-        nextOf(scheduler, load, nowMs) ??
-        (steals ? stealFor(scheduler, load, others, nowMs) : null);
+        nextQueuedJob(scheduler, load, nowMs) ??
+        (canSteal ? chooseJobToSteal(scheduler, load, candidates, nowMs) : null);
       if (next === null) break;
       const decision =
-        grant(scheduler, load, next, nowMs) ?? rateLimitRefusal(scheduler, next.job, nowMs);
+        startJob(scheduler, load, next, nowMs) ?? rateLimitRefusal(scheduler, next.job, nowMs);
       if (decision === null) break;
       decisions.push(decision);
     }
@@ -49,124 +57,129 @@
 }
 
 /**
- * Whether idle engines look at the other lines now. Guards against looking at each event, of which a
- * request brings three or more: every idle engine weighs every waiting job. While code is cold it
- * shows as a scheduler that takes several milliseconds for a decision and falls behind its callers.
+ * Returns whether idle engines may steal work now, and records the time if so. Stealing is limited
+ * to one pass per `stealIntervalMs` because every idle engine evaluates every queued job, and a
+ * request triggers three or more events. Without this limit a scheduler whose code is not yet
+ * compiled takes several milliseconds per decision and falls behind its callers.
  */
-function maySteal(scheduler: Scheduler, nowMs: number): boolean {
-  if (nowMs - scheduler.stoleAtMs < scheduler.options.stealEveryMs) return false;
-  scheduler.stoleAtMs = nowMs;
+function claimStealTurn(scheduler: Scheduler, nowMs: number): boolean {
+  if (nowMs - scheduler.lastStealAtMs < scheduler.options.stealIntervalMs) return false;
+  scheduler.lastStealAtMs = nowMs;
   return true;
 }
 
 /**
- * Jobs that engines which make tokens may read at all: most are too long for them. Looked up once
- * and not for each of these engines, of which most have room all the time: that took a third of the
- * processor time of a scheduler under overload.
+ * Returns the queued jobs that decode engines may prefill; most prompts are too long for them. The
+ * list is computed once per dispatch rather than once per decode engine: nearly all decode engines
+ * have free capacity at any time, and repeating the filter took a third of the scheduler's CPU time
+ * under overload.
  */
-function jobsForDecode(scheduler: Scheduler, nowMs: number): readonly Waiting[] {
-  return [...scheduler.waiting.values()].filter(({ job, returned }) => {
+function jobsAllowedOnDecode(scheduler: Scheduler, nowMs: number): readonly QueuedJob[] {
+  return [...scheduler.waiting.values()].filter(({ job, isRetry }) => {
     const ownTokens = job.parts.at(-1)?.tokens ?? 0;
-    if (ownTokens <= scheduler.options.maxDecodeReadTokens || returned) return true;
-    return !hasReaders(scheduler, job, nowMs);
+    if (ownTokens <= scheduler.options.maxDecodePrefillTokens || isRetry) return true;
+    return !hasPrefillEngine(scheduler, job, nowMs);
   });
 }
 
 /**
- * A job whose engine left, failed or takes no more for now joins the line of another one; it is
- * refused where only rate limits keep it from all of them.
+ * Moves jobs whose engine left, failed or is suspended to the queue of another engine. Refuses a
+ * job if only rate limits keep it from every engine.
  */
-function moveFromUnusable(scheduler: Scheduler, nowMs: number): readonly Decision[] {
+function requeueFromUnusable(scheduler: Scheduler, nowMs: number): readonly Decision[] {
   const refusals: Decision[] = [];
-  for (const waiting of [...scheduler.waiting.values()]) {
-    const load = scheduler.targets.get(waiting.target);
+  for (const queuedJob of [...scheduler.waiting.values()]) {
+    const load = scheduler.targets.get(queuedJob.target);
     if (load !== undefined && isUsable(load, nowMs)) continue;
-    const place = bestPlace(scheduler, waiting, nowMs);
-    if (place !== null) changeLine(scheduler, waiting, place.load.entry.id);
+    const placement = choosePlacement(scheduler, queuedJob, nowMs);
+    if (placement !== null) moveToQueue(scheduler, queuedJob, placement.load.entry.id);
     else {
-      const refusal = rateLimitRefusal(scheduler, waiting.job, nowMs);
+      const refusal = rateLimitRefusal(scheduler, queuedJob.job, nowMs);
       if (refusal !== null) refusals.push(refusal);
     }
   }
   return refusals;
 }
 
-function nextOf(scheduler: Scheduler, load: TargetLoad, nowMs: number): Waiting | null {
-  const startAtMs = nowMs + pendingReadMs(load, nowMs);
-  let best: { readonly waiting: Waiting; readonly offer: Offer } | null = null;
-  for (const waiting of lineOf(scheduler, load.entry.id)) {
-    const offer = makeOffer(scheduler, load, waiting, startAtMs, nowMs);
-    if (best === null || compareOffers(offer, best.offer) < 0) best = { waiting, offer };
+function nextQueuedJob(scheduler: Scheduler, load: TargetLoad, nowMs: number): QueuedJob | null {
+  const startAtMs = nowMs + pendingPrefillMs(load, nowMs);
+  let best: { readonly queuedJob: QueuedJob; readonly estimate: ServiceEstimate } | null = null;
+  for (const queuedJob of queueOf(scheduler, load.entry.id)) {
+    const estimate = estimateService(scheduler, load, queuedJob, startAtMs, nowMs);
+    if (best === null || compareRank(estimate, best.estimate) < 0) best = { queuedJob, estimate };
   }
-  return best?.waiting ?? null;
+  return best?.queuedJob ?? null;
 }
 
 /**
- * The job of another line that an idle engine takes: one that it would answer sooner than the
- * engine whose line it stands in, counting what is read again against it.
+ * Returns the job that an idle engine steals from another queue, or null. A job qualifies if this
+ * engine would answer it sooner than its current engine, after adding penalties for extra prefill
+ * time and for copied cache contents.
  */
-function stealFor(
+function chooseJobToSteal(
   scheduler: Scheduler,
   load: TargetLoad,
-  others: Iterable<Waiting>,
+  candidates: Iterable<QueuedJob>,
   nowMs: number,
-): Waiting | null {
-  let best: { readonly waiting: Waiting; readonly offer: Offer } | null = null;
-  for (const waiting of others) {
-    if (!scheduler.waiting.has(waiting.job.id)) continue;
-    const other = scheduler.targets.get(waiting.target);
-    if (other === undefined || !mayRead(scheduler, load, waiting.job, nowMs)) continue;
-    const there = placeAt(scheduler, other, waiting, nowMs);
-    const here = makeOffer(scheduler, load, waiting, nowMs, nowMs);
-    const extraMs = Math.max(0, here.serviceMs - there.offer.serviceMs);
-    const weighedAtMs =
-      here.firstEventAtMs + scheduler.options.rereadWeight * extraMs + copyCostMs(scheduler, here);
-    if (weighedAtMs >= there.offer.firstEventAtMs + copyCostMs(scheduler, there.offer)) continue;
-    if (best === null || compareOffers(here, best.offer) < 0) best = { waiting, offer: here };
+): QueuedJob | null {
+  let best: { readonly queuedJob: QueuedJob; readonly estimate: ServiceEstimate } | null = null;
+  for (const queuedJob of candidates) {
+    if (!scheduler.waiting.has(queuedJob.job.id)) continue;
+    const currentEngine = scheduler.targets.get(queuedJob.target);
+    if (currentEngine === undefined || !mayPrefill(scheduler, load, queuedJob.job, nowMs)) continue;
+    const stay = predictPlacement(scheduler, currentEngine, queuedJob, nowMs);
+    const move = estimateService(scheduler, load, queuedJob, nowMs, nowMs);
+    const extraMs = Math.max(0, move.serviceMs - stay.estimate.serviceMs);
+    const scoreMs =
+      move.firstEventAtMs +
+      scheduler.options.recomputeWeight * extraMs +
+      copyPenaltyMs(scheduler, move);
+    if (scoreMs >= stay.estimate.firstEventAtMs + copyPenaltyMs(scheduler, stay.estimate)) continue;
+    if (best === null || compareRank(move, best.estimate) < 0) best = { queuedJob, estimate: move };
   }
-  return best?.waiting ?? null;
+  return best?.queuedJob ?? null;
 }
 
-function grant(
+function startJob(
   scheduler: Scheduler,
   load: TargetLoad,
-  waiting: Waiting,
+  queuedJob: QueuedJob,
   nowMs: number,
 ): Decision | null {
-  const { job } = waiting;
-  const stream = makesTokens(load) ? load : chooseStreamTarget(scheduler, job, load, nowMs);
-  if (stream === null) return null;
-  const holders = findHolders(scheduler.targets.values(), job, nowMs);
-  const cost: ReadCost = readCost(holders, load, job);
-  noteServedSize(scheduler.fairness, job.route, waiting.sizeClass);
-  beginReading(load, {
+  const { job } = queuedJob;
+  const decodeEngine = canDecode(load) ? load : chooseDecodeEngine(scheduler, job, load, nowMs);
+  if (decodeEngine === null) return null;
+  const holders = findCacheHolders(scheduler.targets.values(), job, nowMs);
+  const cost: PrefillCost = prefillCost(holders, load, job);
+  recordServedSize(scheduler.fairness, job.route, queuedJob.sizeClass);
+  beginPrefill(load, {
     jobId: job.id,
     parts: job.parts,
-    heldParts: heldParts(load.cache, job.parts),
+    cachedParts: countCachedParts(load.cache, job.parts),
     tokens: cost.missingTokens,
     predictedMs: cost.serviceMs,
     startedAtMs: nowMs,
   });
-  for (const { entry } of new Set([load, stream])) scheduler.permits.take(entry.id);
-  // Noted at once, so that those who share its parts wait for this reading.
-  notePrompt(load.cache, job.parts);
-  const heldTokens = job.parts.reduce((sum, part) => sum + part.tokens, job.outputTokens);
-  stream.streaming.set(job.id, heldTokens);
-  for (const { entry } of [load, stream]) {
-    noteConnection(scheduler.connections, job.gateway, entry.id, nowMs);
+  for (const { entry } of new Set([load, decodeEngine])) scheduler.permits.take(entry.id);
+  // Recorded immediately so that jobs sharing these parts wait for this prefill.
+  recordPrompt(load.cache, job.parts);
+  const totalTokens = job.parts.reduce((sum, part) => sum + part.tokens, job.outputTokens);
+  decodeEngine.streaming.set(job.id, totalTokens);
+  for (const { entry } of [load, decodeEngine]) {
+    recordConnection(scheduler.connections, job.gateway, entry.id, nowMs);
   }
   const decision: Decision = {
     kind: DecisionKind.Run,
     jobId: job.id,
     plan: {
       readAt: load.entry.id,
-      streamAt: stream === load ? null : stream.entry.id,
+      streamAt: decodeEngine === load ? null : decodeEngine.entry.id,
       fetchFrom: cost.fetchFrom?.entry.id ?? null,
       missingTokens: cost.missingTokens,
       predictedReadMs: cost.serviceMs,
-      waitedMs: nowMs - waiting.submittedAtMs,
+      waitedMs: nowMs - queuedJob.submittedAtMs,
     },
   };
-  remember(scheduler, job, decision, nowMs);
+  recordDecision(scheduler, job, decision, nowMs);
   return decision;
 }
--- a/packages/coordination/src/core/scheduling/handover.ts
+++ b/packages/coordination/src/core/scheduling/handover.ts
@@ -1,54 +1,58 @@
-/** Which engine makes the tokens of a prompt that another one reads. */
+/** Chooses the engine that decodes a prompt after another engine has prefilled it. */
 import { hasConnection } from './connections.js';
 import type { Job } from './job.js';
-import { heldParts, tokensBetween } from './prompt-cache.js';
+import { countCachedParts, tokensBetween } from './prompt-cache.js';
 import type { Scheduler } from './scheduler-state.js';
-import { type TargetLoad, isOnTrial, isUsable, makesTokens } from './target-load.js';
+import { type TargetLoad, canDecode, isHalfOpen, isUsable } from './target-load.js';
 
-/** Requests more that an engine of the same failure domain may have: memory crosses domains slowly. */
-const SAME_DOMAIN_ADVANTAGE = 4;
+/**
+ * Penalty for an engine in another failure domain, in requests, because KV cache transfers between
+ * failure domains are slow.
+ */
+const CROSS_DOMAIN_PENALTY_REQUESTS = 4;
 
 /**
- * Tokens in cache that outweigh one more request at an engine. Guards the engines' memory: a prompt
- * that goes on at any engine leaves a copy of its shared parts there, and the copies push out parts
- * that are then read again. At the engine that has them already, nothing is pushed out.
+ * Number of cached prompt tokens that offset one more request on an engine. Decoding on any other
+ * engine stores a second copy of the shared prompt parts there, and these copies evict parts that
+ * must then be prefilled again. An engine that already holds the parts evicts nothing.
  */
-const TOKENS_PER_REQUEST = 2500;
+const CACHED_TOKENS_PER_REQUEST = 2500;
 
 /**
- * The engine that makes tokens with the fewest requests and most of the prompt, rather one to which
- * the job's gateway has a connection; null if there is none.
+ * Returns the decode engine with the fewest running requests, favoring engines that already hold
+ * the prompt, are in the failure domain of the prefill engine, or have a connection to the job's
+ * gateway. Returns null if no engine is available.
  */
-export function chooseStreamTarget(
+export function chooseDecodeEngine(
   scheduler: Scheduler,
   job: Job,
-  reader: TargetLoad,
+  prefillEngine: TargetLoad,
   nowMs: number,
 ): TargetLoad | null {
-  const { connectedAdvantage, connectionKeptMs } = scheduler.options;
+  const { connectedAdvantage, connectionKeepAliveMs } = scheduler.options;
   let best: TargetLoad | null = null;
-  let bestLoad = Infinity;
+  let lowestScore = Infinity;
   for (const load of scheduler.targets.values()) {
-    if (!makesTokens(load) || !isUsable(load, nowMs)) continue;
+    if (!canDecode(load) || !isUsable(load, nowMs)) continue;
     if (job.avoid.includes(load.entry.id)) continue;
-    if (isOnTrial(load) && load.streaming.size > 0) continue;
-    const isNear = load.entry.failureDomain === reader.entry.failureDomain;
+    if (isHalfOpen(load) && load.streaming.size > 0) continue;
+    const isNear = load.entry.failureDomain === prefillEngine.entry.failureDomain;
     const isConnected = hasConnection(
       scheduler.connections,
       job.gateway,
       load.entry.id,
-      connectionKeptMs,
+      connectionKeepAliveMs,
       nowMs,
     );
-    const held = tokensBetween(job.parts, 0, heldParts(load.cache, job.parts));
-    const weighed =
+    const cachedTokens = tokensBetween(job.parts, 0, countCachedParts(load.cache, job.parts));
+    const score =
       load.streaming.size +
-      (isNear ? 0 : SAME_DOMAIN_ADVANTAGE) -
+      (isNear ? 0 : CROSS_DOMAIN_PENALTY_REQUESTS) -
       (isConnected ? connectedAdvantage : 0) -
-      held / TOKENS_PER_REQUEST;
-    if (weighed < bestLoad) {
+      cachedTokens / CACHED_TOKENS_PER_REQUEST;
+    if (score < lowestScore) {
       best = load;
-      bestLoad = weighed;
+      lowestScore = score;
     }
   }
   return best;
--- a/packages/coordination/src/core/scheduling/job.ts
+++ b/packages/coordination/src/core/scheduling/job.ts
@@ -1,54 +1,63 @@
 /**
- * What a scheduler is asked and what it decides. A job is one attempt of a caller that needs an
- * engine; all times are readings of the scheduler's own clock.
+ * Requests to a scheduler and its decisions. A job is one attempt of a caller that needs an engine.
+ * All times are readings of the scheduler's own clock.
  */
 import type { PromptPart } from '../forwarding/fleet.js';
 
-/** A request that waits for an engine. */
+/** A request that needs an engine. */
 export interface Job {
   readonly id: string;
-  /** Jobs of one route are compared by size with each other. */
+  /** Sizes of jobs are compared within their route. */
   readonly route: string;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** The parts of the prompt in order; the last one is the request's own. */
+  /** The parts of the prompt in order; the last part is unique to this request. */
   readonly parts: readonly PromptPart[];
   readonly outputTokens: number;
-  /** Where its answer goes. */
+  /** Failure domain that receives the answer. */
   readonly failureDomain: string;
-  /** The gateway that sends it to engines. */
+  /** The gateway that forwards the job to engines. */
   readonly gateway: string;
-  /** The first event is on time until then. */
+  /** Latency goal: the first event is on time until this time. */
   readonly aimAtMs: number;
-  /** The caller leaves then. */
+  /** Time at which the caller stops waiting. */
   readonly deadlineAtMs: number;
   /** Targets that already failed this job. */
   readonly avoid: readonly string[];
 }
 
-/** Where a job runs. */
+/** The engines that run a job. */
 export interface Plan {
-  /** The engine that reads the prompt. */
+  /** The engine that prefills the prompt. */
   readonly readAt: string;
-  /** The engine that makes the tokens, null where the first one does that as well. */
+  /** The engine that decodes, or null if the prefill engine also decodes. */
   readonly streamAt: string | null;
-  /** The engine that hands over parts which the reader lacks, null where there is none. */
+  /**
+   * The engine that transfers cached parts to the prefill engine, or null if nothing is
+   * transferred.
+   */
   readonly fetchFrom: string | null;
-  /** Tokens that are expected to be read; the rest is in the engine's cache or fetched. */
+  /**
+   * Tokens that are expected to be prefilled; the rest is cached on the engine or transferred to
+   * it.
+   */
   readonly missingTokens: number;
   readonly predictedReadMs: number;
   readonly waitedMs: number;
 }
 
-/** Why a job is refused. */
+/** Reason for refusing a job. */
 export enum RefusalReason {
-  /** No target takes work. */
+  /** No target accepts work. */
   NoTarget = 'no-target',
-  /** It would not be read before its caller leaves. */
+  /** The first event would arrive after the caller's deadline. */
   TooLate = 'too-late',
-  /** Others that can still be on time need all that the engines can do. */
+  /**
+   * The first event would miss its latency goal, and the remaining capacity goes to jobs that can
+   * still be on time.
+   */
   Overload = 'overload',
-  /** Each engine that could take it names a rate limit that is used up. */
+  /** Every engine that could run the job has reached its rate limit. */
   RateLimit = 'rate-limit',
 }
 
@@ -58,39 +67,42 @@
   Refuse = 'refuse',
 }
 
-/** A decision on one job; it is final. */
+/** The final decision on one job. */
 export type Decision =
   | { readonly kind: DecisionKind.Run; readonly jobId: string; readonly plan: Plan }
   | {
       readonly kind: DecisionKind.Refuse;
       readonly jobId: string;
       readonly reason: RefusalReason;
-      /** When the job is likely to be taken. */
+      /** Time after which the job is likely to be accepted. */
       readonly retryAfterMs: number;
-      /** Reading that its engine had to do before it. */
+      /** Predicted prefill time that was queued ahead of the job on its engine. */
       readonly aheadMs: number;
-      /** Jobs that waited for any engine. */
+      /** Number of jobs that were queued for any engine. */
       readonly waitingJobs: number;
     };
 
-/** What a gateway reports of a job that runs. */
+/** Events that a gateway reports about a running job. */
 export enum JobEventKind {
-  /** The prompt is read: the first event came, or the handle of the prompt. */
+  /** The prompt is prefilled: the first event or the handle of the prefilled prompt arrived. */
   Read = 'read',
-  /** It ended; nothing of it runs any more. */
+  /** The job ended, and no part of it is running. */
   Ended = 'ended',
-  /** It ended, and the target had answered it whole. */
+  /** The job ended with a complete answer from the target. */
   Served = 'served',
-  /** The target can't be reached, is silent, or takes no work. */
+  /** The target is unreachable, unresponsive or not accepting work. */
   Failed = 'failed',
-  /** The target broke off an answer: a crash, or one answer lost on its way. */
+  /**
+   * The target broke off an answer, because it crashed or because this one answer was lost in
+   * transit.
+   */
   Broke = 'broke',
 }
 
-/** One report. */
+/** One reported event. */
 export interface JobEvent {
   readonly kind: JobEventKind;
   readonly jobId: string;
-  /** The target that it is about. */
+  /** The target that the event is about. */
   readonly target: string;
 }
--- a/packages/coordination/src/core/scheduling/options.ts
+++ b/packages/coordination/src/core/scheduling/options.ts
@@ -1,99 +1,110 @@
-/** The limits of a scheduler, each with the load that it answers. */
+/** Tuning parameters of a scheduler, each with the load that it addresses. */
 export interface SchedulerOptions {
   /**
-   * Reading that an engine is given ahead. An engine reads several short prompts in one step; given
-   * them one by one, it starts up for each. As long as a step of 1,000 to 2,000 tokens takes.
+   * Predicted prefill time up to which an engine is given further jobs. An engine batches several
+   * short prompts into one step, whereas prompts sent one by one each pay the start-up time. The
+   * value is the duration of a step of 1,000 to 2,000 tokens.
    */
   readonly lookaheadMs: number;
   /**
-   * Prompts that one engine is given at once, whatever was predicted for them: what is lost if it
-   * crashes, and what fits a step of 2,000 tokens at some 250 each.
+   * Maximum number of prompts that one engine prefills at once, whatever their predicted time.
+   * Bounds the work that a crash loses and fits a step of 2,000 tokens at about 250 tokens per
+   * prompt.
    */
-  readonly maxReading: number;
+  readonly maxPrefillsPerEngine: number;
   /**
-   * How many milliseconds a job may wait for the engine that holds its parts to spare another one
-   * a millisecond of reading them again.
+   * Milliseconds that a job may wait for the engine that holds its cached parts in order to save
+   * another engine one millisecond of recomputing them.
    */
-  readonly rereadWeight: number;
+  readonly recomputeWeight: number;
   /**
-   * How many milliseconds a job may wait for the engine that holds its parts to spare another one
-   * a copy of a thousand tokens: what the copy pushes out is read again, at some 35 ms a thousand.
+   * Milliseconds that a job may wait for the engine that holds its cached parts to avoid copying a
+   * thousand tokens to another engine. A copy evicts other parts, which are then prefilled again at
+   * about 35 ms per thousand tokens.
    */
-  readonly copyMsPerThousand: number;
+  readonly copyPenaltyMsPerThousand: number;
   /**
-   * Longest prompt that an engine which makes tokens reads itself while others read for it. Guards
-   * streams against long readings beside them: they show as first events that come much later than
-   * the prompt was handed over.
+   * Longest prompt, in tokens, that a decode engine prefills itself while prefill engines are
+   * available. Longer prefills interrupt the streams on the engine, so that first events arrive
+   * long after the handover of their prompts.
    */
-  readonly maxDecodeReadTokens: number;
+  readonly maxDecodePrefillTokens: number;
   /**
-   * Work on jobs that are late already which an engine keeps waiting. None: whoever would be late is
-   * told so at once, unless an engine is idle. Late jobs that waited were served late or sent away
-   * after a wait, and those behind them were late in turn.
+   * Maximum predicted service time of the late jobs in the queue of an engine. With zero, a job that would be late is refused immediately unless its engine is idle. Queued late jobs
+   * were served late or refused after a wait, and delayed the jobs behind them.
    */
   readonly maxLateBacklogMs: number;
   /**
-   * How long a job that can no longer be on time keeps its place: those that come meanwhile go
-   * before it, and a caller who is sent away late has waited for nothing. Some decisions long, since
-   * a prediction swings by as much when other prompts are read sooner than expected.
+   * How long a queued job that can no longer be on time stays queued. Later arrivals are served
+   * before it, and a caller that is refused late has waited in vain. The value spans several
+   * scheduling decisions because predictions fluctuate by that much when other prefills finish
+   * early.
    */
   readonly maxLateWaitMs: number;
   /**
-   * How long a gateway keeps a connection that is not used: what targets announce, less a margin.
+   * How long a gateway keeps an idle connection: the keep-alive time that targets announce, minus a
+   * margin.
+   */
+  readonly connectionKeepAliveMs: number;
+  /**
+   * Time to open a connection to an engine: two network round trips plus the engine's setup time.
    */
-  readonly connectionKeptMs: number;
-  /** Wait for a new connection to an engine: two crossings, and the engine's own time for it. */
   readonly connectMs: number;
   /**
-   * Requests more that an engine may have to which the gateway has a connection. Little against the
-   * slots of an engine: a request more makes each of its tokens a few hundredths slower.
+   * Additional requests that an engine may have over others if the gateway has a connection to it.
+   * Small compared with the slots of an engine: one more request slows each of its tokens by a few
+   * percent.
    */
   readonly connectedAdvantage: number;
-  /** How often idle engines look at the lines of others; little against the reading of a prompt. */
-  readonly stealEveryMs: number;
-  /** Time from the read prompt to the first event at the caller. */
+  /**
+   * Interval at which idle engines try to steal work; short compared with the prefill of a prompt.
+   */
+  readonly stealIntervalMs: number;
+  /** Time from the end of the prefill to the first event at the caller. */
   readonly firstEventMs: number;
-  /** Time that a handle of a read prompt takes to the engine that goes on. */
+  /** Time to transfer the handle of a prefilled prompt to the decode engine. */
   readonly handoverMs: number;
-  /** Earliest time at which a refused caller is asked back. */
+  /** Minimum retry delay that a refused caller is given. */
   readonly minRetryAfterMs: number;
-  /** A gateway that has not asked for its waiting job so long has died or given up. */
-  readonly forgottenAfterMs: number;
-  /** A scheduler that was not asked for so long may have had another one beside it. */
+  /**
+   * A gateway that has not polled its queued job for this long is assumed to have died or given up.
+   */
+  readonly abandonedAfterMs: number;
+  /** After this long without requests, another scheduler may have been active in the meantime. */
   readonly staleAfterMs: number;
   /**
-   * Answers in a row that a target breaks off before it counts as failed. A crash breaks off all of
-   * them at once; a single one is an answer lost on its way, and to leave its engine alone for that
-   * kept requests from being read for up to 800 ms where one of two engines makes the tokens.
+   * Broken answers in a row after which a target counts as failed. A crash breaks off all answers
+   * at once, whereas a single one was lost in transit. Suspending the engine for a single lost
+   * answer blocked prefills for up to 800 ms when only two engines decode.
    */
-  readonly maxBreaksInARow: number;
-  /** How long a target that failed is left alone at first; doubles with each failure in a row. */
-  readonly suspendMs: number;
+  readonly maxConsecutiveBreaks: number;
+  /** Initial suspension of a failed target; doubles with each consecutive failure. */
+  readonly initialSuspendMs: number;
   readonly maxSuspendMs: number;
-  /** Part of an engine's memory that running requests may take. */
+  /** Fraction of an engine's memory that running requests may use. */
   readonly maxRunningShare: number;
 }
 
-/** Defaults; their reasons stand with the fields. */
+/** Default options; the reasons are documented with the fields. */
 export const SCHEDULER_OPTIONS: SchedulerOptions = {
   lookaheadMs: 40,
-  maxReading: 8,
-  rereadWeight: 1,
-  maxDecodeReadTokens: 400,
-  copyMsPerThousand: 10,
+  maxPrefillsPerEngine: 8,
+  recomputeWeight: 1,
+  maxDecodePrefillTokens: 400,
+  copyPenaltyMsPerThousand: 10,
   maxLateBacklogMs: 0,
   maxLateWaitMs: 50,
-  stealEveryMs: 10,
-  connectionKeptMs: 30_000,
+  stealIntervalMs: 10,
+  connectionKeepAliveMs: 30_000,
   connectMs: 4,
   connectedAdvantage: 4,
   firstEventMs: 15,
   handoverMs: 25,
   minRetryAfterMs: 300,
-  forgottenAfterMs: 700,
+  abandonedAfterMs: 700,
   staleAfterMs: 1500,
-  maxBreaksInARow: 2,
-  suspendMs: 500,
+  maxConsecutiveBreaks: 2,
+  initialSuspendMs: 500,
   maxSuspendMs: 2000,
   maxRunningShare: 0.8,
 };
--- a/packages/coordination/src/core/scheduling/phase-split.ts
+++ b/packages/coordination/src/core/scheduling/phase-split.ts
@@ -1,67 +1,67 @@
 /**
- * How the engines of a service are split between reading prompts and making tokens. The load
- * pattern: long prompts and short answers, so that reading binds and an engine that makes tokens
- * reads at half speed beside it. As few engines make tokens as the streams need; the rest read. A
- * change takes an engine away for seconds, so one is made only where the split is wrong for long.
- * Engines that name a rate limit stand beside the split: where those that make tokens are in need,
- * others have to take what they leave.
+ * Splits the engines of a service between prefill and decode. With long prompts and short answers,
+ * prefill is the bottleneck, and an engine that also decodes prefills at half speed. Therefore as
+ * few engines decode as the streams need, and the rest prefill. A phase change takes an engine out
+ * of service for seconds, so an order is given only if the split stays wrong for a long time.
+ * Rate-limited engines are left out: if decode engines are rate limited, other engines must take
+ * over their share.
  */
 import { EnginePhase } from '../forwarding/fleet.js';
 
-/** An engine as the split sees it. */
+/** State of an engine that the split depends on. */
 export interface PhaseEngine {
   readonly id: string;
   readonly failureDomain: string;
   readonly phase: EnginePhase;
-  /** Whether it can be given an order and work. */
+  /** Whether the engine accepts orders and work. */
   readonly usable: boolean;
-  /** Whether an order to it is on its way or being carried out. */
+  /** Whether a phase change has been ordered or is in progress. */
   readonly changing: boolean;
-  /** Requests for which it reads or makes tokens. */
+  /** Requests that the engine prefills or decodes. */
   readonly requests: number;
-  /** Whether it names a rate limit that is used up. */
+  /** Whether the engine has reached its rate limit. */
   readonly limited: boolean;
 }
 
-/** The limits of a split. */
+/** Options of the split. */
 export interface PhaseSplitOptions {
   /**
-   * Requests at engines for each one that makes tokens: an engine runs 64 at once, and those that
-   * wait to be read count as well.
+   * Requests at engines per decode engine. An engine runs 64 requests at once, and requests that
+   * wait for prefill are included in the count.
    */
   readonly streamsPerEngine: number;
-  /** Engines that make tokens at the least, so that the loss of one stops nothing. */
-  readonly minDecode: number;
+  /** Minimum number of decode engines, so that losing one does not stop the service. */
+  readonly minDecodeEngines: number;
   /**
-   * Part of the engines that make tokens at the least, before any load is known: with fewer, first
-   * events come 200 ms late on average when a burst begins.
+   * Minimum fraction of engines that decode before any load is known. With fewer, first events are
+   * 200 ms late on average at the start of a burst.
    */
   readonly minDecodeShare: number;
-  /** Engines that go on reading at the least, whatever is wanted. */
-  readonly minPrefill: number;
-  /** Services with fewer engines keep the split that they have. */
+  /** Minimum number of prefill engines that are left whatever the load. */
+  readonly minPrefillEngines: number;
+  /** Services with fewer engines keep their current split. */
   readonly minEngines: number;
-  /** Engines that may be changing at once while callers are served. */
+  /** Maximum number of engines that change phase at once while callers are served. */
   readonly maxChanging: number;
 }
 
-/** Defaults. */
+/** Default options. */
 export const PHASE_SPLIT_OPTIONS: PhaseSplitOptions = {
   streamsPerEngine: 64,
-  minDecode: 2,
+  minDecodeEngines: 2,
   minDecodeShare: 0.2,
-  minPrefill: 1,
+  minPrefillEngines: 1,
   minEngines: 4,
   maxChanging: 1,
 };
 
-/** An order that improves the split. */
+/** An order to change the phase of an engine. */
 export interface PhaseOrder {
   readonly engineId: string;
   readonly phase: EnginePhase;
 }
 
-/** Engines that should make tokens for so many streams at once. */
+/** Returns the number of engines that should decode for the given number of concurrent streams. */
 export function decodeEnginesWanted(
   engines: number,
   streams: number,
@@ -69,10 +69,10 @@
 ): number {
   const forStreams = Math.ceil(streams / options.streamsPerEngine);
   const forShare = Math.ceil(engines * options.minDecodeShare);
-  return Math.min(engines - 1, Math.max(options.minDecode, forShare, forStreams));
+  return Math.min(engines - 1, Math.max(options.minDecodeEngines, forShare, forStreams));
 }
 
-/** The next orders, none where the split is right or cannot be bettered now. */
+/** Returns the next phase orders; empty if the split is right or cannot be improved now. */
 export function choosePhaseOrders(
   engines: readonly PhaseEngine[],
   streams: number,
@@ -87,41 +87,46 @@
   const prefill = steady.filter((engine) => engine.phase === EnginePhase.Prefill);
   const wanted = decodeEnginesWanted(split.length, streams, options);
   const surplus = decode.length - wanted;
-  const most = isIdle ? split.length : Math.max(options.maxChanging, shortByLimits(split, wanted));
-  const room = most - changing;
-  if (room <= 0 || surplus === 0) return [];
-  if (surplus > 0) return ordersTo(EnginePhase.Prefill, decode, Math.min(room, surplus));
-  const spare = Math.max(0, prefill.length - options.minPrefill);
-  return ordersTo(EnginePhase.Decode, prefill, Math.min(room, -surplus, spare));
+  const maxChanging = isIdle
+    ? split.length
+    : Math.max(options.maxChanging, shortByLimits(split, wanted));
+  const available = maxChanging - changing;
+  if (available <= 0 || surplus === 0) return [];
+  if (surplus > 0) return planOrders(EnginePhase.Prefill, decode, Math.min(available, surplus));
+  const spare = Math.max(0, prefill.length - options.minPrefillEngines);
+  return planOrders(EnginePhase.Decode, prefill, Math.min(available, -surplus, spare));
 }
 
-/** Engines that make tokens which are missing since others name rate limits. */
+/** Returns how many decode engines are missing because others are rate limited. */
 export function shortByLimits(engines: readonly PhaseEngine[], wanted: number): number {
   const decode = engines.filter(({ phase }) => phase === EnginePhase.Decode);
   const limited = decode.filter((engine) => engine.limited).length;
   return Math.min(limited, Math.max(0, wanted - (decode.length - limited)));
 }
 
-/** Takes engines of the fullest failure domains first, so that the rest stay spread. */
-function ordersTo(
+/**
+ * Picks engines from the most populated failure domains first, so that the remaining ones stay
+ * spread out.
+ */
+function planOrders(
   phase: EnginePhase,
-  from: readonly PhaseEngine[],
+  engines: readonly PhaseEngine[],
   count: number,
 ): readonly PhaseOrder[] {
-  const left = [...from];
+  const candidates = [...engines];
   const orders: PhaseOrder[] = [];
-  while (orders.length < count && left.length > 0) {
+  while (orders.length < count && candidates.length > 0) {
     const perDomain = new Map<string, number>();
-    for (const { failureDomain } of left) {
+    for (const { failureDomain } of candidates) {
       perDomain.set(failureDomain, (perDomain.get(failureDomain) ?? 0) + 1);
     }
-    left.sort(
+    candidates.sort(
       (a, b) =>
         (perDomain.get(b.failureDomain) ?? 0) - (perDomain.get(a.failureDomain) ?? 0) ||
         a.requests - b.requests ||
         (a.id < b.id ? -1 : 1),
     );
-    const chosen = left.shift();
+    const chosen = candidates.shift();
     if (chosen !== undefined) orders.push({ engineId: chosen.id, phase });
   }
   return orders;
--- a/packages/coordination/src/core/scheduling/placing.ts
+++ b/packages/coordination/src/core/scheduling/placing.ts
@@ -1,191 +1,222 @@
 /**
- * Which engine's line a job stands in: the one that would answer it first, counting against it what
- * would be read again and the copies that push other parts out of its memory.
+ * Chooses the engine whose queue a job joins: the one that would answer it first, after adding
+ * penalties for recomputing cached parts and for copies that evict other parts from the engine's
+ * memory.
  */
 import { EnginePhase } from '../forwarding/fleet.js';
 import { hasConnection } from './connections.js';
 import type { Job } from './job.js';
-import { heldParts, tokensBetween } from './prompt-cache.js';
-import { type Offer, type Standing, compareOffers } from './ranking.js';
-import { type ReadCost, findHolders, readCost } from './read-cost.js';
-import type { Estimate, Scheduler, Waiting } from './scheduler-state.js';
+import { countCachedParts, tokensBetween } from './prompt-cache.js';
+import { type ServiceEstimate, type Standing, compareRank } from './ranking.js';
+import { type PrefillCost, findCacheHolders, prefillCost } from './read-cost.js';
+import type { CachedCost, QueuedJob, Scheduler } from './scheduler-state.js';
 import { isStarved } from './size-fairness.js';
-import { type TargetLoad, isUsable, makesTokens, pendingReadMs } from './target-load.js';
-import { lineOf } from './waiting-lines.js';
+import { type TargetLoad, canDecode, isUsable, pendingPrefillMs } from './target-load.js';
+import { queueOf } from './waiting-lines.js';
 
-/** Where a job would wait, and for how long. */
-export interface Place {
+/** An engine on which a job could be queued, with the predicted result. */
+export interface PlacementOption {
   readonly load: TargetLoad;
-  readonly offer: Offer;
-  /** Reading that the engine does before it. */
+  readonly estimate: ServiceEstimate;
+  /** Predicted prefill time that is ahead of the job on the engine. */
   readonly aheadMs: number;
 }
 
-/** The place where a job would be answered first, all told; null where no engine may take it. */
-export function bestPlace(scheduler: Scheduler, waiting: Waiting, nowMs: number): Place | null {
-  const places: Place[] = [];
-  const { holders } = estimateOf(scheduler, waiting, nowMs);
+/**
+ * Returns the engine that would answer a job first with penalties included, or null if no engine
+ * may take the job.
+ */
+export function choosePlacement(
+  scheduler: Scheduler,
+  queuedJob: QueuedJob,
+  nowMs: number,
+): PlacementOption | null {
+  const options: PlacementOption[] = [];
+  const { holders } = cachedCostOf(scheduler, queuedJob, nowMs);
   for (const load of scheduler.targets.values()) {
-    if (!mayRead(scheduler, load, waiting.job, nowMs)) continue;
-    places.push(placeWith(scheduler, load, waiting, readCost(holders, load, waiting.job), nowMs));
+    if (!mayPrefill(scheduler, load, queuedJob.job, nowMs)) continue;
+    options.push(
+      predictPlacementWithCost(
+        scheduler,
+        load,
+        queuedJob,
+        prefillCost(holders, load, queuedJob.job),
+        nowMs,
+      ),
+    );
   }
-  const leastServiceMs = Math.min(...places.map((place) => place.offer.serviceMs));
-  const costMs = ({ load, offer }: Place): number =>
-    offer.firstEventAtMs +
-    connectCostMs(scheduler, load, waiting.job, nowMs) +
-    scheduler.options.rereadWeight * (offer.serviceMs - leastServiceMs) +
-    copyCostMs(scheduler, offer);
-  let best: Place | null = null;
-  for (const place of places) {
-    if (best === null || costMs(place) < costMs(best)) best = place;
+  const leastServiceMs = Math.min(...options.map((option) => option.estimate.serviceMs));
+  const penalizedAtMs = ({ load, estimate }: PlacementOption): number =>
+    estimate.firstEventAtMs +
+    connectCostMs(scheduler, load, queuedJob.job, nowMs) +
+    scheduler.options.recomputeWeight * (estimate.serviceMs - leastServiceMs) +
+    copyPenaltyMs(scheduler, estimate);
+  let best: PlacementOption | null = null;
+  for (const option of options) {
+    if (best === null || penalizedAtMs(option) < penalizedAtMs(best)) best = option;
   }
   return best;
 }
 
-/** Time that a job's gateway would take to connect to an engine. */
+/** Returns the time that the job's gateway needs to connect to an engine. */
 function connectCostMs(scheduler: Scheduler, load: TargetLoad, job: Job, nowMs: number): number {
-  const { connectMs, connectionKeptMs } = scheduler.options;
+  const { connectMs, connectionKeepAliveMs } = scheduler.options;
   const { connections } = scheduler;
   const { id } = load.entry;
-  return hasConnection(connections, job.gateway, id, connectionKeptMs, nowMs) ? 0 : connectMs;
+  return hasConnection(connections, job.gateway, id, connectionKeepAliveMs, nowMs) ? 0 : connectMs;
 }
 
-/** Whether an engine may read a job's prompt. */
-export function mayRead(scheduler: Scheduler, load: TargetLoad, job: Job, nowMs: number): boolean {
+/** Returns whether an engine may prefill a job's prompt. */
+export function mayPrefill(
+  scheduler: Scheduler,
+  load: TargetLoad,
+  job: Job,
+  nowMs: number,
+): boolean {
   if (!isUsable(load, nowMs) || job.avoid.includes(load.entry.id)) return false;
   if (load.entry.phase !== EnginePhase.Decode) return true;
-  return isShortReading(scheduler, load, job) || !hasReaders(scheduler, job, nowMs);
+  return isShortPrefill(scheduler, load, job) || !hasPrefillEngine(scheduler, job, nowMs);
 }
 
-function isShortReading(scheduler: Scheduler, load: TargetLoad, job: Job): boolean {
-  const { maxDecodeReadTokens } = scheduler.options;
-  const own = job.parts.at(-1);
-  // Settles nearly every question: the last part of a prompt is its own, and seldom in a cache.
-  const isOwnLong = own !== undefined && own.tokens > maxDecodeReadTokens;
-  if (isOwnLong && !load.cache.tokensByPart.has(own.id)) return false;
-  const held = heldParts(load.cache, job.parts);
-  return tokensBetween(job.parts, held, job.parts.length) <= maxDecodeReadTokens;
+function isShortPrefill(scheduler: Scheduler, load: TargetLoad, job: Job): boolean {
+  const { maxDecodePrefillTokens } = scheduler.options;
+  const ownPart = job.parts.at(-1);
+  // Decides most cases without a full lookup: the last part is unique to the request and rarely
+  // cached.
+  const isOwnPartLong = ownPart !== undefined && ownPart.tokens > maxDecodePrefillTokens;
+  if (isOwnPartLong && !load.cache.tokensByPart.has(ownPart.id)) return false;
+  const cachedParts = countCachedParts(load.cache, job.parts);
+  return tokensBetween(job.parts, cachedParts, job.parts.length) <= maxDecodePrefillTokens;
 }
 
-/** Whether any engine that only reads may read a job's prompt. */
-export function hasReaders(scheduler: Scheduler, job: Job, nowMs: number): boolean {
+/** Returns whether any prefill engine may prefill a job's prompt. */
+export function hasPrefillEngine(scheduler: Scheduler, job: Job, nowMs: number): boolean {
   for (const load of scheduler.targets.values()) {
-    const reads = load.entry.phase === EnginePhase.Prefill;
-    if (reads && isUsable(load, nowMs) && !job.avoid.includes(load.entry.id)) return true;
+    const isPrefillEngine = load.entry.phase === EnginePhase.Prefill;
+    if (isPrefillEngine && isUsable(load, nowMs) && !job.avoid.includes(load.entry.id)) return true;
   }
   return false;
 }
 
 const THOUSAND_TOKENS = 1000;
 
-/** What the copies that an offer makes cost, in milliseconds of waiting. */
-export function copyCostMs(scheduler: Scheduler, offer: Offer): number {
-  return (offer.copiedTokens / THOUSAND_TOKENS) * scheduler.options.copyMsPerThousand;
+/** Returns the penalty, in milliseconds of waiting, for the tokens that would be copied. */
+export function copyPenaltyMs(scheduler: Scheduler, estimate: ServiceEstimate): number {
+  return (estimate.copiedTokens / THOUSAND_TOKENS) * scheduler.options.copyPenaltyMsPerThousand;
 }
 
-/** Where a job would stand in an engine's line: behind what is worth more for the engine's time. */
-export function placeAt(
+/**
+ * Predicts the result of queuing a job on an engine, behind the jobs that are worth more per
+ * millisecond of engine time.
+ */
+export function predictPlacement(
   scheduler: Scheduler,
   load: TargetLoad,
-  waiting: Waiting,
+  queuedJob: QueuedJob,
   nowMs: number,
-): Place {
-  return placeWith(scheduler, load, waiting, costInLine(scheduler, load, waiting, nowMs), nowMs);
+): PlacementOption {
+  return predictPlacementWithCost(
+    scheduler,
+    load,
+    queuedJob,
+    queuedPrefillCost(scheduler, load, queuedJob, nowMs),
+    nowMs,
+  );
 }
 
-function placeWith(
+function predictPlacementWithCost(
   scheduler: Scheduler,
   load: TargetLoad,
-  waiting: Waiting,
-  cost: ReadCost,
+  queuedJob: QueuedJob,
+  cost: PrefillCost,
   nowMs: number,
-): Place {
-  const pendingMs = pendingReadMs(load, nowMs);
+): PlacementOption {
+  const pendingMs = pendingPrefillMs(load, nowMs);
   const startAtMs = nowMs + pendingMs;
-  const immediate = offerOf(scheduler, load, waiting, cost, startAtMs);
+  const immediate = toServiceEstimate(scheduler, load, queuedJob, cost, startAtMs);
   let aheadMs = pendingMs;
-  for (const other of lineOf(scheduler, load.entry.id)) {
-    if (other === waiting) continue;
-    const theirs = offerInLine(scheduler, load, other, startAtMs, nowMs);
-    if (compareOffers(theirs, immediate) <= 0) aheadMs += theirs.serviceMs;
+  for (const other of queueOf(scheduler, load.entry.id)) {
+    if (other === queuedJob) continue;
+    const otherEstimate = estimateQueuedService(scheduler, load, other, startAtMs, nowMs);
+    if (compareRank(otherEstimate, immediate) <= 0) aheadMs += otherEstimate.serviceMs;
   }
-  const offer = { ...immediate, firstEventAtMs: immediate.firstEventAtMs + aheadMs - pendingMs };
-  return { load, offer, aheadMs };
+  const estimate = { ...immediate, firstEventAtMs: immediate.firstEventAtMs + aheadMs - pendingMs };
+  return { load, estimate, aheadMs };
 }
 
-/** What an engine that begins at a time would do for a job. */
-export function makeOffer(
+/** Estimates how an engine that starts at the given time would serve a job. */
+export function estimateService(
   scheduler: Scheduler,
   load: TargetLoad,
-  waiting: Waiting,
+  queuedJob: QueuedJob,
   startAtMs: number,
   nowMs: number,
-): Offer {
-  const cost = readCost(estimateOf(scheduler, waiting, nowMs).holders, load, waiting.job);
-  return offerOf(scheduler, load, waiting, cost, startAtMs);
+): ServiceEstimate {
+  const cost = prefillCost(cachedCostOf(scheduler, queuedJob, nowMs).holders, load, queuedJob.job);
+  return toServiceEstimate(scheduler, load, queuedJob, cost, startAtMs);
 }
 
-/** The same for a job in the engine's line, from what reading it was found to cost a moment ago. */
-export function offerInLine(
+/** Estimates the same for a job in the engine's own queue, using the cached prefill cost. */
+export function estimateQueuedService(
   scheduler: Scheduler,
   load: TargetLoad,
-  waiting: Waiting,
+  queuedJob: QueuedJob,
   startAtMs: number,
   nowMs: number,
-): Offer {
-  const cost = costInLine(scheduler, load, waiting, nowMs);
-  return offerOf(scheduler, load, waiting, cost, startAtMs);
+): ServiceEstimate {
+  const cost = queuedPrefillCost(scheduler, load, queuedJob, nowMs);
+  return toServiceEstimate(scheduler, load, queuedJob, cost, startAtMs);
 }
 
 /**
- * How long what was found out about a job counts. In that time an engine reads a prompt or two,
- * which changes what others cost by less than the fit of its speed is off. Finding it out for each
- * question takes more processor time than a small VM has.
+ * How long the cached cost of a job stays valid. In that time an engine prefills one or two
+ * prompts, which changes the cost of other prompts by less than the error of the speed estimate.
+ * Computing the cost on every lookup needs more CPU time than a small VM has.
  */
-const ESTIMATE_FRESH_MS = 50;
-
-function estimateOf(scheduler: Scheduler, waiting: Waiting, nowMs: number): Estimate {
-  const known = waiting.estimate;
-  if (known !== null && nowMs - known.atMs < ESTIMATE_FRESH_MS) return known;
-  const holders = findHolders(scheduler.targets.values(), waiting.job, nowMs);
-  const estimate: Estimate = { atMs: nowMs, holders, own: null };
-  waiting.estimate = estimate;
-  return estimate;
+const COST_CACHE_TTL_MS = 50;
+
+function cachedCostOf(scheduler: Scheduler, queuedJob: QueuedJob, nowMs: number): CachedCost {
+  const previous = queuedJob.cachedCost;
+  if (previous !== null && nowMs - previous.atMs < COST_CACHE_TTL_MS) return previous;
+  const holders = findCacheHolders(scheduler.targets.values(), queuedJob.job, nowMs);
+  const cached: CachedCost = { atMs: nowMs, holders, own: null };
+  queuedJob.cachedCost = cached;
+  return cached;
 }
 
-function costInLine(
+function queuedPrefillCost(
   scheduler: Scheduler,
   load: TargetLoad,
-  waiting: Waiting,
+  queuedJob: QueuedJob,
   nowMs: number,
-): ReadCost {
-  const estimate = estimateOf(scheduler, waiting, nowMs);
+): PrefillCost {
+  const cached = cachedCostOf(scheduler, queuedJob, nowMs);
   const engineId = load.entry.id;
-  if (estimate.own?.engineId === engineId) return estimate.own.cost;
-  const cost = readCost(estimate.holders, load, waiting.job);
-  if (waiting.target === engineId) estimate.own = { engineId, cost };
+  if (cached.own?.engineId === engineId) return cached.own.cost;
+  const cost = prefillCost(cached.holders, load, queuedJob.job);
+  if (queuedJob.target === engineId) cached.own = { engineId, cost };
   return cost;
 }
 
-function offerOf(
+function toServiceEstimate(
   scheduler: Scheduler,
   load: TargetLoad,
-  waiting: Waiting,
-  { serviceMs, copiedTokens }: ReadCost,
+  queuedJob: QueuedJob,
+  { serviceMs, copiedTokens }: PrefillCost,
   startAtMs: number,
-): Offer {
+): ServiceEstimate {
   const { handoverMs, firstEventMs } = scheduler.options;
-  const afterMs = makesTokens(load) ? firstEventMs : firstEventMs + handoverMs;
+  const afterPrefillMs = canDecode(load) ? firstEventMs : firstEventMs + handoverMs;
   return {
-    standing: standingOf(scheduler, waiting),
+    standing: standingOf(scheduler, queuedJob),
     serviceMs,
     copiedTokens,
-    firstEventAtMs: startAtMs + serviceMs + afterMs,
-    aimAtMs: waiting.job.aimAtMs,
+    firstEventAtMs: startAtMs + serviceMs + afterPrefillMs,
+    aimAtMs: queuedJob.job.aimAtMs,
   };
 }
 
-function standingOf(scheduler: Scheduler, waiting: Waiting): Standing {
-  const { job, value, returned, sizeClass } = waiting;
-  return { value, returned, starved: isStarved(scheduler.fairness, job.route, sizeClass) };
+function standingOf(scheduler: Scheduler, queuedJob: QueuedJob): Standing {
+  const { job, value, isRetry, sizeClass } = queuedJob;
+  return { value, isRetry, isStarved: isStarved(scheduler.fairness, job.route, sizeClass) };
 }
--- a/packages/coordination/src/core/scheduling/prompt-cache.ts
+++ b/packages/coordination/src/core/scheduling/prompt-cache.ts
@@ -1,65 +1,74 @@
 /**
- * What an engine has in its cache of prompt parts, as far as its scheduler knows: it sees every
- * prompt that the engine is given, and forgets parts in the order in which the engine does.
+ * Models the KV cache of prompt parts on one engine. The scheduler sees every prompt that the
+ * engine is given and evicts parts in the same order as the engine.
  */
 import type { PromptPart } from '../forwarding/fleet.js';
 
-/** Parts in the order of their last use, oldest first. */
+/** Cached parts in order of last use, oldest first. */
 export interface PromptCache {
   readonly capacityTokens: number;
   readonly tokensByPart: Map<string, number>;
-  heldTokens: number;
+  usedTokens: number;
 }
 
-/** An empty cache. */
+/** Returns an empty cache. */
 export function createPromptCache(capacityTokens: number): PromptCache {
-  return { capacityTokens, tokensByPart: new Map(), heldTokens: 0 };
+  return { capacityTokens, tokensByPart: new Map(), usedTokens: 0 };
 }
 
-/** Parts from the beginning of a prompt that are held without a gap; only these spare reading. */
-export function heldParts(cache: PromptCache, parts: readonly PromptPart[]): number {
-  let held = 0;
+/**
+ * Returns the number of leading parts of a prompt that are cached without a gap. Only these need no
+ * prefill.
+ */
+export function countCachedParts(cache: PromptCache, parts: readonly PromptPart[]): number {
+  let count = 0;
   for (const part of parts) {
     if (!cache.tokensByPart.has(part.id)) break;
-    held += 1;
+    count += 1;
   }
-  return held;
+  return count;
 }
 
-/** Tokens of the parts from one index up to another. */
+/** Returns the number of tokens in the parts from index `from` up to but not including `to`. */
 export function tokensBetween(parts: readonly PromptPart[], from: number, to: number): number {
   let tokens = 0;
   for (let index = from; index < to; index += 1) tokens += parts[index]?.tokens ?? 0;
   return tokens;
 }
 
-/** Notes that an engine reads a prompt; the least recently used parts give way. */
-export function notePrompt(cache: PromptCache, parts: readonly PromptPart[]): void {
+/**
+ * Records that an engine prefills a prompt, and evicts the least recently used parts if the cache
+ * is full.
+ */
+export function recordPrompt(cache: PromptCache, parts: readonly PromptPart[]): void {
   for (const part of parts) {
-    cache.heldTokens += part.tokens - (cache.tokensByPart.get(part.id) ?? 0);
+    cache.usedTokens += part.tokens - (cache.tokensByPart.get(part.id) ?? 0);
     cache.tokensByPart.delete(part.id);
     cache.tokensByPart.set(part.id, part.tokens);
   }
   for (const [id, tokens] of cache.tokensByPart) {
-    if (cache.heldTokens <= cache.capacityTokens) break;
+    if (cache.usedTokens <= cache.capacityTokens) break;
     cache.tokensByPart.delete(id);
-    cache.heldTokens -= tokens;
+    cache.usedTokens -= tokens;
   }
 }
 
-/** Takes a listing of the cache in: parts that it lacks are gone unless they were noted since. */
-export function replaceHeld(cache: PromptCache, listed: readonly PromptPart[]): void {
-  const since = [...cache.tokensByPart].map(([id, tokens]) => ({ id, tokens }));
+/**
+ * Merges the contents that an engine reported into the cache. The parts that were recorded here are
+ * kept as the most recently used.
+ */
+export function mergeCacheListing(cache: PromptCache, listed: readonly PromptPart[]): void {
+  const recorded = [...cache.tokensByPart].map(([id, tokens]) => ({ id, tokens }));
   cache.tokensByPart.clear();
-  cache.heldTokens = 0;
-  notePrompt(cache, listed);
-  notePrompt(cache, since);
+  cache.usedTokens = 0;
+  recordPrompt(cache, listed);
+  recordPrompt(cache, recorded);
 }
 
-/** Notes that parts did not come into the cache after all. */
-export function forgetParts(cache: PromptCache, parts: readonly PromptPart[]): void {
+/** Removes parts that were recorded but never reached the cache. */
+export function removeParts(cache: PromptCache, parts: readonly PromptPart[]): void {
   for (const part of parts) {
-    cache.heldTokens -= cache.tokensByPart.get(part.id) ?? 0;
+    cache.usedTokens -= cache.tokensByPart.get(part.id) ?? 0;
     cache.tokensByPart.delete(part.id);
   }
 }
--- a/packages/coordination/src/core/scheduling/ranking.ts
+++ b/packages/coordination/src/core/scheduling/ranking.ts
@@ -1,95 +1,101 @@
 /**
- * Which of several waiting jobs an engine takes first. The load pattern: more prompts than the
- * engines can read in time, from a hundred tokens to tens of thousands. First comes what is worth
- * most for the engine's time; what is late already is worth a part of what it was, more if its
- * caller was sent away before, and sizes that starve are worth more until they no longer do.
+ * Ranks the queued jobs of an engine by value per millisecond of engine time. This matters under
+ * overload, when prompts from a hundred to tens of thousands of tokens exceed what the engines can
+ * prefill in time. A late job keeps only a fraction of its value, a larger one if its caller was
+ * refused before. Jobs of starved sizes get a higher value until they are served again.
  */
 import type { Job } from './job.js';
 
-/** Value of a job against the mean of its route: a base and a part that grows with its size. */
+/**
+ * Value of a job relative to the mean size of its route: a fixed base plus a part that grows with
+ * size.
+ */
 const BASE_VALUE = 0.3;
 const MAX_VALUE = 4;
-/** A generated token takes an engine about as long as ten that are read beside others. */
+/** Generating a token takes an engine about as long as prefilling ten tokens in a batch. */
 const OUTPUT_TOKEN_WEIGHT = 10;
-/** How much a less urgent priority counts against the one before it. */
-const PRIORITY_STEP = 0.8;
-/** Sizes that the mean of a route rests on; older ones fade. */
-const SIZE_MEMORY = 200;
+/** Value of a job relative to one of the next more urgent priority. */
+const VALUE_RATIO_PER_PRIORITY = 0.8;
+/** Number of samples that the mean size of a route is based on; older samples decay. */
+const MAX_MEAN_SAMPLES = 200;
 
-/** Mean sizes by route. */
+/** Mean job size by route. */
 export interface RouteSizes {
   readonly byRoute: Map<string, { mean: number; count: number }>;
 }
 
-/** No sizes known. */
+/** Returns an empty table of sizes. */
 export function createRouteSizes(): RouteSizes {
   return { byRoute: new Map() };
 }
 
-/** Size of a job: what its prompt and its longest answer cost, in tokens that are read. */
+/** Returns the cost of a job's prompt and its longest possible answer, in prefill tokens. */
 export function jobSize(job: Job): number {
   const promptTokens = job.parts.reduce((sum, part) => sum + part.tokens, 0);
   return promptTokens + OUTPUT_TOKEN_WEIGHT * job.outputTokens;
 }
 
-/** Takes a job's size into the mean of its route. */
-export function noteSize(sizes: RouteSizes, job: Job): void {
+/** Adds a job's size to the mean of its route. */
+export function recordSize(sizes: RouteSizes, job: Job): void {
   const known = sizes.byRoute.get(job.route) ?? { mean: 0, count: 0 };
-  known.count = Math.min(SIZE_MEMORY, known.count + 1);
+  known.count = Math.min(MAX_MEAN_SAMPLES, known.count + 1);
   known.mean += (jobSize(job) - known.mean) / known.count;
   sizes.byRoute.set(job.route, known);
 }
 
-/** What serving a job is worth, 1 for one of ordinary size and the highest priority. */
+/** Returns the value of serving a job; 1 for an average size and the highest priority. */
 export function jobValue(sizes: RouteSizes, job: Job): number {
   const mean = sizes.byRoute.get(job.route)?.mean ?? 0;
   const relative = mean > 0 ? jobSize(job) / mean : 1;
   const value = Math.min(MAX_VALUE, BASE_VALUE + (1 - BASE_VALUE) * relative);
-  return value * PRIORITY_STEP ** job.priority;
+  return value * VALUE_RATIO_PER_PRIORITY ** job.priority;
 }
 
-/** What a late answer is worth against one that is on time; callers want it all the same. */
-const LATE_VALUE = 0.15;
-/** The same where the caller was refused before and would be sent away a second time. */
-const RETURNED_VALUE = 0.5;
-/** How much more a size that starves is worth, so that it gets its turn among smaller ones. */
-const STARVED_VALUE = 20;
+/** Value factor of a late answer. It is above zero because callers still want late answers. */
+const LATE_VALUE_FACTOR = 0.15;
+/**
+ * Value factor of a late answer if the caller was refused before and would otherwise be refused
+ * again.
+ */
+const LATE_RETRY_VALUE_FACTOR = 0.5;
+/** Value factor of a starved size, so that it is served among smaller jobs. */
+const STARVED_VALUE_FACTOR = 20;
 
-/** How a job stands beside others of its route. */
+/** Properties of a job that determine its rank. */
 export interface Standing {
-  /** Worth of the job when it is on time. */
+  /** Value of the job if it is on time. */
   readonly value: number;
-  readonly returned: boolean;
-  readonly starved: boolean;
+  readonly isRetry: boolean;
+  readonly isStarved: boolean;
 }
 
-/** What an engine would do for a job. */
-export interface Offer {
+/** Predicted result of an engine serving a job. */
+export interface ServiceEstimate {
   readonly standing: Standing;
-  /** Time of the engine that it takes. */
+  /** Engine time that the job needs. */
   readonly serviceMs: number;
-  /** Tokens that get a second copy in the engines' memory. */
+  /** Tokens that would be stored on a second engine. */
   readonly copiedTokens: number;
-  /** When its first event would reach the caller. */
+  /** Time at which the first event would reach the caller. */
   readonly firstEventAtMs: number;
   readonly aimAtMs: number;
 }
 
-/** Whether the first event would be on time. */
-export function isOnTime(offer: Offer): boolean {
-  return offer.firstEventAtMs <= offer.aimAtMs;
+/** Returns whether the first event would meet its latency goal. */
+export function isOnTime(estimate: ServiceEstimate): boolean {
+  return estimate.firstEventAtMs <= estimate.aimAtMs;
 }
 
-/** What an offer is worth for each millisecond of the engine. */
-export function worthPerMs(offer: Offer): number {
-  const { value, returned, starved } = offer.standing;
-  const lateValue = returned ? RETURNED_VALUE : LATE_VALUE;
-  const timely = isOnTime(offer) ? 1 : lateValue;
-  const boost = starved ? STARVED_VALUE : 1;
-  return (value * timely * boost) / Math.max(1, offer.serviceMs);
+/** Returns the value of serving a job per millisecond of engine time. */
+export function valuePerMs(estimate: ServiceEstimate): number {
+  const { value, isRetry, isStarved } = estimate.standing;
+  const lateFactor = isRetry ? LATE_RETRY_VALUE_FACTOR : LATE_VALUE_FACTOR;
+  const timelinessFactor = isOnTime(estimate) ? 1 : lateFactor;
+  const starvationFactor = isStarved ? STARVED_VALUE_FACTOR : 1;
+  return (value * timelinessFactor * starvationFactor) / Math.max(1, estimate.serviceMs);
 }
 
-/** Negative where `left` goes first. */
-export function compareOffers(left: Offer, right: Offer): number {
-  return worthPerMs(right) - worthPerMs(left);
+/** Sorts by descending value; negative if `left` ranks first. */
+export function compareRank(left: ServiceEstimate, right: ServiceEstimate): number {
+  return valuePerMs(right) - valuePerMs(left);
 }
--- a/packages/coordination/src/core/scheduling/rate-limited.ts
+++ b/packages/coordination/src/core/scheduling/rate-limited.ts
@@ -1,14 +1,17 @@
 /**
- * Jobs that only rate limits keep from engines. The load pattern: engines in need name limits, and
- * more is asked for than they take together. Waiting for a permit would only move the refusal to the
- * end of the caller's patience, so it comes at once and says when there will be one.
+ * Refuses jobs that only rate limits keep from engines, which happens when callers ask for more
+ * than the announced limits of the engines allow. Waiting for a permit would only delay the refusal
+ * until the caller's deadline. The job is therefore refused immediately, with the time after which
+ * a permit will be available.
  */
 import { type Decision, type Job, RefusalReason } from './job.js';
 import { refuse } from './refusing.js';
 import type { Scheduler } from './scheduler-state.js';
-import { type TargetLoad, isServing, makesTokens } from './target-load.js';
+import { type TargetLoad, canDecode, isHealthy } from './target-load.js';
 
-/** Refuses a job where engines would take it but for their rate limits; null otherwise. */
+/**
+ * Refuses a job if engines would accept it apart from their rate limits; returns null otherwise.
+ */
 export function rateLimitRefusal(scheduler: Scheduler, job: Job, nowMs: number): Decision | null {
   const limited = limitedEngines(scheduler, job, nowMs);
   if (limited.length === 0) return null;
@@ -16,13 +19,13 @@
   return refuse(scheduler, job, RefusalReason.RateLimit, 0, nowMs, availableInMs);
 }
 
-/** The engines that make tokens and could take a job, where none of them has a permit. */
+/** Returns the engines that could decode a job, or an empty list if any of them has a permit. */
 function limitedEngines(scheduler: Scheduler, job: Job, nowMs: number): readonly TargetLoad[] {
   const limited: TargetLoad[] = [];
   for (const load of scheduler.targets.values()) {
-    if (!makesTokens(load) || !isServing(load, nowMs)) continue;
+    if (!canDecode(load) || !isHealthy(load, nowMs)) continue;
     if (job.avoid.includes(load.entry.id)) continue;
-    // It reads the prompt as well where no other engine may.
+    // A decode engine with a permit can also prefill the prompt if no other engine may.
     if (load.permits.has(load.entry.id)) return [];
     limited.push(load);
   }
--- a/packages/coordination/src/core/scheduling/read-cost.ts
+++ b/packages/coordination/src/core/scheduling/read-cost.ts
@@ -1,80 +1,94 @@
 /**
- * What reading a prompt costs an engine. Parts that it holds cost nothing, parts that another engine
- * holds cost their transfer, which takes some hundredths of the time of reading them.
+ * Computes the cost of prefilling a prompt on an engine. Parts in the engine's own cache cost
+ * nothing. Parts cached on another engine cost their transfer, which takes a few percent of the
+ * time to prefill them.
  */
 import type { Job } from './job.js';
-import { heldParts, tokensBetween } from './prompt-cache.js';
-import { predictReadMs } from './read-time.js';
-import { type TargetLoad, isUsable, partsToHandOver } from './target-load.js';
+import { countCachedParts, tokensBetween } from './prompt-cache.js';
+import { predictPrefillMs } from './read-time.js';
+import { type TargetLoad, countTransferableParts, isUsable } from './target-load.js';
 
-/** Memory takes so many times as long to another failure domain. */
-const OTHER_DOMAIN_RATIO = 2;
-/** Fewer tokens than that are read faster than another engine is asked for them. */
+/** Transfers to another failure domain take this many times as long. */
+const CROSS_DOMAIN_TRANSFER_RATIO = 2;
+/**
+ * Shorter fetches are not worth it: prefilling fewer tokens is faster than requesting them from
+ * another engine.
+ */
 const MIN_FETCH_TOKENS = 500;
-/** Setting up a transfer; the engines' data sheet says 5 ms. */
-const FETCH_START_MS = 5;
+/** Time to set up a transfer, according to the engine data sheet. */
+const TRANSFER_SETUP_MS = 5;
 
-/** What reading costs. */
-export interface ReadCost {
-  /** Tokens that are read. */
+/** Cost of a prefill. */
+export interface PrefillCost {
+  /** Tokens that are prefilled. */
   readonly missingTokens: number;
-  /** Time of the engine, transfer included. */
+  /** Engine time, including the transfer. */
   readonly serviceMs: number;
-  /** Tokens that get a second copy, which pushes others out of the engine's cache. */
+  /** Tokens that are stored on a second engine and evict other parts from its cache. */
   readonly copiedTokens: number;
-  /** The engine that hands parts over, null where none does. */
+  /** The engine that transfers parts, or null if there is none. */
   readonly fetchFrom: TargetLoad | null;
 }
 
-/** The engines that hold most of a prompt; found once for a prompt, whoever may read it. */
-export interface Holders {
-  /** Parts that each of them can hand over; 0 where nobody has any. */
+/**
+ * The engines that hold the longest prefix of a prompt. Computed once per prompt and used for every
+ * candidate engine.
+ */
+export interface CacheHolders {
+  /** Number of leading parts that each of them can transfer; 0 if no engine holds any. */
   readonly parts: number;
   readonly any: TargetLoad | null;
   readonly byDomain: ReadonlyMap<string, TargetLoad>;
 }
 
-/** Finds the engines that can hand over most of a prompt. */
-export function findHolders(loads: Iterable<TargetLoad>, job: Job, nowMs: number): Holders {
+/** Returns the engines that can transfer the longest prefix of a prompt. */
+export function findCacheHolders(
+  loads: Iterable<TargetLoad>,
+  job: Job,
+  nowMs: number,
+): CacheHolders {
   let parts = 0;
   let any: TargetLoad | null = null;
   const byDomain = new Map<string, TargetLoad>();
   for (const load of loads) {
     if (!isUsable(load, nowMs)) continue;
-    const held = partsToHandOver(load, job.parts);
-    if (held === 0 || held < parts) continue;
-    if (held > parts) byDomain.clear();
-    if (held > parts || any === null) any = load;
-    parts = held;
+    const availableParts = countTransferableParts(load, job.parts);
+    if (availableParts === 0 || availableParts < parts) continue;
+    if (availableParts > parts) byDomain.clear();
+    if (availableParts > parts || any === null) any = load;
+    parts = availableParts;
     byDomain.set(load.entry.failureDomain, load);
   }
   return { parts, any, byDomain };
 }
 
-/** The cheapest way in which an engine can have a prompt read. */
-export function readCost(holders: Holders, load: TargetLoad, job: Job): ReadCost {
+/**
+ * Returns the cheapest way for an engine to prefill a prompt, with or without fetching cached
+ * parts.
+ */
+export function prefillCost(holders: CacheHolders, load: TargetLoad, job: Job): PrefillCost {
   const { parts } = job;
-  const own = heldParts(load.cache, parts);
-  const missingTokens = tokensBetween(parts, own, parts.length);
-  const alone = {
+  const ownParts = countCachedParts(load.cache, parts);
+  const missingTokens = tokensBetween(parts, ownParts, parts.length);
+  const withoutFetch = {
     missingTokens,
-    serviceMs: predictReadMs(load.readTime, missingTokens),
+    serviceMs: predictPrefillMs(load.prefillTimeModel, missingTokens),
     copiedTokens: 0,
   };
-  if (holders.parts <= own) return { ...alone, fetchFrom: null };
+  if (holders.parts <= ownParts) return { ...withoutFetch, fetchFrom: null };
   const holder = holders.byDomain.get(load.entry.failureDomain) ?? holders.any;
-  if (holder === null) return { ...alone, fetchFrom: null };
-  const fetchedTokens = tokensBetween(parts, own, holders.parts);
+  if (holder === null) return { ...withoutFetch, fetchFrom: null };
+  const fetchedTokens = tokensBetween(parts, ownParts, holders.parts);
   const isNear = holder.entry.failureDomain === load.entry.failureDomain;
-  const perTokenMs = load.transferMsPerToken * (isNear ? 1 : OTHER_DOMAIN_RATIO);
-  const restTokens = missingTokens - fetchedTokens;
-  const fetchMs = FETCH_START_MS + fetchedTokens * perTokenMs;
-  const serviceMs = fetchMs + predictReadMs(load.readTime, restTokens);
-  if (fetchedTokens < MIN_FETCH_TOKENS || serviceMs >= alone.serviceMs) {
-    return { ...alone, fetchFrom: null };
+  const perTokenMs = load.transferMsPerToken * (isNear ? 1 : CROSS_DOMAIN_TRANSFER_RATIO);
+  const remainingTokens = missingTokens - fetchedTokens;
+  const fetchMs = TRANSFER_SETUP_MS + fetchedTokens * perTokenMs;
+  const serviceMs = fetchMs + predictPrefillMs(load.prefillTimeModel, remainingTokens);
+  if (fetchedTokens < MIN_FETCH_TOKENS || serviceMs >= withoutFetch.serviceMs) {
+    return { ...withoutFetch, fetchFrom: null };
   }
   return {
-    missingTokens: restTokens,
+    missingTokens: remainingTokens,
     serviceMs,
     copiedTokens: fetchedTokens,
     fetchFrom: holder,
--- a/packages/coordination/src/core/scheduling/read-time.ts
+++ b/packages/coordination/src/core/scheduling/read-time.ts
@@ -1,10 +1,10 @@
 /**
- * How long an engine takes to read a prompt: a start-up time and a time for each token, fitted to
- * the engine's own readings by least squares, in which old readings fade.
+ * Predicts the prefill time on an engine as a start-up time plus a time per token. The model is
+ * fitted to the engine's measured prefills by least squares with exponential decay.
  */
 
-/** Decayed sums over readings (x: tokens, y: milliseconds). */
-export interface ReadTime {
+/** Decayed sums over samples (x: tokens, y: milliseconds). */
+export interface PrefillTimeModel {
   count: number;
   sumTokens: number;
   sumMs: number;
@@ -12,58 +12,69 @@
   sumTokensMs: number;
 }
 
-/** Weight that a reading keeps when the next one comes: half after some 35 readings. */
-const FADE = 0.98;
-/** Readings that the prior counts as: few, so that a handful of readings outweighs it. */
-const PRIOR_READINGS = 1;
-/** Prior of an engine of today's kind: 22 ms to the first token, as its data sheet says. */
+/** Weight that a sample keeps with each new one; it halves after about 35 samples. */
+const SAMPLE_DECAY = 0.98;
+/** Number of samples that the prior counts as; small, so that a few measurements outweigh it. */
+const PRIOR_SAMPLES = 1;
+/** Prior for the current engine type: 22 ms to the first token according to its data sheet. */
 const PRIOR_START_MS = 22;
-/** Tokens of the second point of the prior; the size of an ordinary prompt. */
+/** Token count of the second sample of the prior; a typical prompt size. */
 const PRIOR_TOKENS = 8000;
-/** No fit may be faster or slower than the prior by more than this: one odd reading fits anything. */
+/**
+ * Maximum ratio between the fitted slope and the slope of the prior, so that a single outlier
+ * cannot distort the model.
+ */
 const MAX_SLOPE_RATIO = 6;
-/** Longest reading that is believed: a stalled engine says nothing of its speed. */
-const MAX_READING_MS = 5000;
+/** Longer samples are ignored, because a stalled engine says nothing about its speed. */
+const MAX_SAMPLE_MS = 5000;
 
-/** Tokens that an engine of today's kind reads in a millisecond, as its data sheet says. */
-export const FULL_TOKENS_PER_MS = 36;
+/**
+ * Prefill speed of the current engine type in tokens per millisecond, according to its data sheet.
+ */
+export const PREFILL_TOKENS_PER_MS = 36;
 
-/** A model that knows only the prior. */
-export function createReadTime(priorTokensPerMs: number): ReadTime {
-  const time: ReadTime = { count: 0, sumTokens: 0, sumMs: 0, sumTokensSquared: 0, sumTokensMs: 0 };
-  for (let index = 0; index < PRIOR_READINGS; index += 1) {
-    add(time, 0, PRIOR_START_MS);
-    add(time, PRIOR_TOKENS, PRIOR_START_MS + PRIOR_TOKENS / priorTokensPerMs);
+/** Returns a model that contains only the prior. */
+export function createPrefillTimeModel(priorTokensPerMs: number): PrefillTimeModel {
+  const model: PrefillTimeModel = {
+    count: 0,
+    sumTokens: 0,
+    sumMs: 0,
+    sumTokensSquared: 0,
+    sumTokensMs: 0,
+  };
+  for (let index = 0; index < PRIOR_SAMPLES; index += 1) {
+    addSample(model, 0, PRIOR_START_MS);
+    addSample(model, PRIOR_TOKENS, PRIOR_START_MS + PRIOR_TOKENS / priorTokensPerMs);
   }
-  return time;
+  return model;
 }
 
-/** Takes in a reading. */
-export function noteReading(time: ReadTime, tokens: number, tookMs: number): void {
-  if (tookMs > MAX_READING_MS) return;
-  time.count *= FADE;
-  time.sumTokens *= FADE;
-  time.sumMs *= FADE;
-  time.sumTokensSquared *= FADE;
-  time.sumTokensMs *= FADE;
-  add(time, tokens, tookMs);
+/** Adds the measured duration of a prefill to the model. */
+export function recordPrefill(model: PrefillTimeModel, tokens: number, durationMs: number): void {
+  if (durationMs > MAX_SAMPLE_MS) return;
+  model.count *= SAMPLE_DECAY;
+  model.sumTokens *= SAMPLE_DECAY;
+  model.sumMs *= SAMPLE_DECAY;
+  model.sumTokensSquared *= SAMPLE_DECAY;
+  model.sumTokensMs *= SAMPLE_DECAY;
+  addSample(model, tokens, durationMs);
 }
 
-/** Time that reading so many tokens takes. */
-export function predictReadMs(time: ReadTime, tokens: number): number {
-  const spread = time.count * time.sumTokensSquared - time.sumTokens ** 2;
-  const fitted = (time.count * time.sumTokensMs - time.sumTokens * time.sumMs) / spread;
-  const slowest = MAX_SLOPE_RATIO / FULL_TOKENS_PER_MS;
-  const fastest = 1 / (MAX_SLOPE_RATIO * FULL_TOKENS_PER_MS);
-  const perTokenMs = Math.min(slowest, Math.max(fastest, spread > 0 ? fitted : fastest));
-  const startMs = Math.max(0, (time.sumMs - perTokenMs * time.sumTokens) / time.count);
+/** Returns the predicted time to prefill the given number of tokens. */
+export function predictPrefillMs(model: PrefillTimeModel, tokens: number): number {
+  const scaledVariance = model.count * model.sumTokensSquared - model.sumTokens ** 2;
+  const fitted = (model.count * model.sumTokensMs - model.sumTokens * model.sumMs) / scaledVariance;
+  const slowest = MAX_SLOPE_RATIO / PREFILL_TOKENS_PER_MS;
+  const fastest = 1 / (MAX_SLOPE_RATIO * PREFILL_TOKENS_PER_MS);
+  const perTokenMs = Math.min(slowest, Math.max(fastest, scaledVariance > 0 ? fitted : fastest));
+  const startMs = Math.max(0, (model.sumMs - perTokenMs * model.sumTokens) / model.count);
   return startMs + perTokenMs * tokens;
 }
 
-function add(time: ReadTime, tokens: number, tookMs: number): void {
-  time.count += 1;
-  time.sumTokens += tokens;
-  time.sumMs += tookMs;
-  time.sumTokensSquared += tokens * tokens;
-  time.sumTokensMs += tokens * tookMs;
+function addSample(model: PrefillTimeModel, tokens: number, durationMs: number): void {
+  model.count += 1;
+  model.sumTokens += tokens;
+  model.sumMs += durationMs;
+  model.sumTokensSquared += tokens * tokens;
+  model.sumTokensMs += tokens * durationMs;
 }
--- a/packages/coordination/src/core/scheduling/refusing.ts
+++ b/packages/coordination/src/core/scheduling/refusing.ts
@@ -1,52 +1,53 @@
 /**
- * Which jobs are turned away, at their arrival or while they wait. The load pattern: more work than
- * the engines can do for many seconds. A refusal comes as early as it can be known, since a caller
- * who waits for one has waited for nothing.
+ * Sheds load: decides which jobs are refused on arrival or while they are queued. During an
+ * overload of many seconds a refusal is issued as early as possible, because a caller that waits
+ * for one has waited in vain.
  */
 import { type Decision, DecisionKind, type Job, RefusalReason } from './job.js';
-import { type Place, offerInLine } from './placing.js';
+import { type PlacementOption, estimateQueuedService } from './placing.js';
 import { isOnTime } from './ranking.js';
-import { noteRefused } from './returners.js';
-import type { Scheduler, Waiting } from './scheduler-state.js';
-import { type TargetLoad, pendingReadMs } from './target-load.js';
-import { leaveLine, lineOf } from './waiting-lines.js';
+import { recordRefusal } from './returners.js';
+import type { QueuedJob, Scheduler } from './scheduler-state.js';
+import { type TargetLoad, pendingPrefillMs } from './target-load.js';
+import { dequeue, queueOf } from './waiting-lines.js';
 
-/** How long a decision is remembered after its job's deadline. */
-const REMEMBER_MS = 1000;
+/** How long a decision is kept after the job's deadline. */
+const DECISION_RETENTION_MS = 1000;
 
 /**
- * Whether a job is turned away at its arrival. Guards against a line that only grows: it shows as
- * every caller waiting until just before its patience ends. What can't be read before the caller
- * leaves is refused at once; of what would be late, only as much waits as an engine can soon do.
+ * Returns why a job is refused on arrival, or null if it is admitted. A job that cannot be answered
+ * before its caller's deadline is refused immediately. Jobs that would be late are admitted only up
+ * to the backlog that the engine can soon serve. Without this limit the queue grows until every
+ * caller waits almost until its deadline.
  */
 export function admissionRefusal(
   scheduler: Scheduler,
-  waiting: Waiting,
-  place: Place,
+  queuedJob: QueuedJob,
+  placement: PlacementOption,
   nowMs: number,
 ): RefusalReason | null {
-  const { offer } = place;
-  if (offer.firstEventAtMs > waiting.job.deadlineAtMs) return RefusalReason.TooLate;
-  if (isOnTime(offer)) return null;
-  const isIdle = place.aheadMs <= scheduler.options.lookaheadMs;
-  const backlogMs = lateBacklogMs(scheduler, place.load, nowMs);
-  const { returned, starved } = offer.standing;
-  const ownMs = returned || starved ? 0 : offer.serviceMs;
-  const isBacklogged = backlogMs + ownMs > scheduler.options.maxLateBacklogMs;
+  const { estimate } = placement;
+  if (estimate.firstEventAtMs > queuedJob.job.deadlineAtMs) return RefusalReason.TooLate;
+  if (isOnTime(estimate)) return null;
+  const isIdle = placement.aheadMs <= scheduler.options.lookaheadMs;
+  const backlogMs = lateBacklogMs(scheduler, placement.load, nowMs);
+  const { isRetry, isStarved } = estimate.standing;
+  const addedMs = isRetry || isStarved ? 0 : estimate.serviceMs;
+  const isBacklogged = backlogMs + addedMs > scheduler.options.maxLateBacklogMs;
   return !isIdle && isBacklogged ? RefusalReason.Overload : null;
 }
 
 function lateBacklogMs(scheduler: Scheduler, load: TargetLoad, nowMs: number): number {
   let backlogMs = 0;
-  const startAtMs = nowMs + pendingReadMs(load, nowMs);
-  for (const waiting of lineOf(scheduler, load.entry.id)) {
-    const offer = offerInLine(scheduler, load, waiting, startAtMs, nowMs);
-    if (!isOnTime(offer)) backlogMs += offer.serviceMs;
+  const startAtMs = nowMs + pendingPrefillMs(load, nowMs);
+  for (const queuedJob of queueOf(scheduler, load.entry.id)) {
+    const estimate = estimateQueuedService(scheduler, load, queuedJob, startAtMs, nowMs);
+    if (!isOnTime(estimate)) backlogMs += estimate.serviceMs;
   }
   return backlogMs;
 }
 
-/** Refuses a job, and remembers its caller, who will come back. */
+/** Refuses a job and records the refusal, because its caller is expected to retry. */
 export function refuse(
   scheduler: Scheduler,
   job: Job,
@@ -64,25 +65,33 @@
     aheadMs,
     waitingJobs: scheduler.waiting.size,
   };
-  noteRefused(scheduler.returners, job, nowMs);
-  remember(scheduler, job, decision, nowMs);
+  recordRefusal(scheduler.refusedRequests, job, nowMs);
+  recordDecision(scheduler, job, decision, nowMs);
   return decision;
 }
 
-/** Keeps a decision, so that a question asked again gets the same answer. */
-export function remember(scheduler: Scheduler, job: Job, decision: Decision, nowMs: number): void {
-  leaveLine(scheduler, job.id);
-  const forgetAtMs = Math.max(nowMs, job.deadlineAtMs) + REMEMBER_MS;
-  scheduler.decided.set(job.id, { decision, forgetAtMs });
+/** Stores a decision so that a repeated request gets the same answer. */
+export function recordDecision(
+  scheduler: Scheduler,
+  job: Job,
+  decision: Decision,
+  nowMs: number,
+): void {
+  dequeue(scheduler, job.id);
+  const expiresAtMs = Math.max(nowMs, job.deadlineAtMs) + DECISION_RETENTION_MS;
+  scheduler.decided.set(job.id, { decision, expiresAtMs });
 }
 
-/** Refuses what has become hopeless, and forgets what nobody asks for any more. */
-export function refuseHopeless(scheduler: Scheduler, nowMs: number): readonly Decision[] {
+/**
+ * Refuses queued jobs that can no longer be served in time, and drops jobs that their gateway no
+ * longer polls.
+ */
+export function refuseUnservableJobs(scheduler: Scheduler, nowMs: number): readonly Decision[] {
   const decisions: Decision[] = [];
-  for (const waiting of [...scheduler.waiting.values()]) {
-    const { job, askedAtMs, target } = waiting;
-    if (askedAtMs + scheduler.options.forgottenAfterMs < nowMs) {
-      leaveLine(scheduler, job.id);
+  for (const queuedJob of [...scheduler.waiting.values()]) {
+    const { job, lastPolledAtMs, target } = queuedJob;
+    if (lastPolledAtMs + scheduler.options.abandonedAfterMs < nowMs) {
+      dequeue(scheduler, job.id);
       continue;
     }
     const load = scheduler.targets.get(target);
@@ -91,28 +100,28 @@
       decisions.push(refuse(scheduler, job, RefusalReason.NoTarget, 0, nowMs));
       continue;
     }
-    const aheadMs = pendingReadMs(load, nowMs);
-    const reason = hopelessReason(scheduler, waiting, load, nowMs);
+    const aheadMs = pendingPrefillMs(load, nowMs);
+    const reason = waitingRefusalReason(scheduler, queuedJob, load, nowMs);
     if (reason !== null) decisions.push(refuse(scheduler, job, reason, aheadMs, nowMs));
   }
   return decisions;
 }
 
-/** Why a waiting job should wait no longer, null while it should. */
-function hopelessReason(
+/** Returns why a queued job should be refused now, or null if it should stay queued. */
+function waitingRefusalReason(
   scheduler: Scheduler,
-  waiting: Waiting,
+  queuedJob: QueuedJob,
   load: TargetLoad,
   nowMs: number,
 ): RefusalReason | null {
-  const startAtMs = nowMs + pendingReadMs(load, nowMs);
-  const offer = offerInLine(scheduler, load, waiting, startAtMs, nowMs);
-  if (offer.firstEventAtMs > waiting.job.deadlineAtMs) return RefusalReason.TooLate;
-  if (isOnTime(offer)) {
-    waiting.lateSinceMs = null;
+  const startAtMs = nowMs + pendingPrefillMs(load, nowMs);
+  const estimate = estimateQueuedService(scheduler, load, queuedJob, startAtMs, nowMs);
+  if (estimate.firstEventAtMs > queuedJob.job.deadlineAtMs) return RefusalReason.TooLate;
+  if (isOnTime(estimate)) {
+    queuedJob.lateSinceMs = null;
     return null;
   }
-  waiting.lateSinceMs ??= nowMs;
-  const lateForMs = nowMs - waiting.lateSinceMs;
+  queuedJob.lateSinceMs ??= nowMs;
+  const lateForMs = nowMs - queuedJob.lateSinceMs;
   return lateForMs > scheduler.options.maxLateWaitMs ? RefusalReason.Overload : null;
 }
--- a/packages/coordination/src/core/scheduling/returners.ts
+++ b/packages/coordination/src/core/scheduling/returners.ts
@@ -1,45 +1,46 @@
 /**
- * Callers who were refused and come back. The load pattern: an overload in which each refused caller
- * returns once; without memory the second attempt is as likely to be refused as the first, and the
- * caller has waited for nothing. A request is known by the part of its prompt that is its own.
+ * Remembers refused requests in order to recognize their retries. During an overload each refused
+ * caller retries once. Without this record the second attempt is as likely to be refused as the
+ * first, and the caller has waited in vain. A request is identified by the part of its prompt that
+ * is unique to it.
  */
 import type { Job } from './job.js';
 
-/** Longest time after which a refused caller still comes back. */
-const MEMORY_MS = 8000;
-/** Refusals that are remembered; far more than come in that time. */
-const MAX_REMEMBERED = 4096;
+/** Longest time after a refusal at which a caller still retries. */
+const RETRY_WINDOW_MS = 8000;
+/** Upper bound on remembered refusals, far above the number that occur within the retry window. */
+const MAX_REFUSED_REQUESTS = 4096;
 
-/** Refused requests by their own part, oldest first. */
-export interface Returners {
+/** Times of refusal by request key, oldest first. */
+export interface RefusedRequests {
   readonly refusedAtMs: Map<string, number>;
 }
 
-/** Nobody was refused. */
-export function createReturners(): Returners {
+/** Returns an empty record. */
+export function createRefusedRequests(): RefusedRequests {
   return { refusedAtMs: new Map() };
 }
 
-/** Remembers a refused job. */
-export function noteRefused(returners: Returners, job: Job, nowMs: number): void {
-  const key = keyOf(job);
+/** Records that a job was refused. */
+export function recordRefusal(refused: RefusedRequests, job: Job, nowMs: number): void {
+  const key = requestKeyOf(job);
   if (key === null) return;
-  returners.refusedAtMs.delete(key);
-  returners.refusedAtMs.set(key, nowMs);
-  const oldest = returners.refusedAtMs.keys().next().value;
-  if (returners.refusedAtMs.size > MAX_REMEMBERED && oldest !== undefined) {
-    returners.refusedAtMs.delete(oldest);
+  refused.refusedAtMs.delete(key);
+  refused.refusedAtMs.set(key, nowMs);
+  const oldest = refused.refusedAtMs.keys().next().value;
+  if (refused.refusedAtMs.size > MAX_REFUSED_REQUESTS && oldest !== undefined) {
+    refused.refusedAtMs.delete(oldest);
   }
 }
 
-/** Whether a job's caller was refused a short while ago. */
-export function isReturner(returners: Returners, job: Job, nowMs: number): boolean {
-  const key = keyOf(job);
-  const refusedAtMs = key === null ? undefined : returners.refusedAtMs.get(key);
-  return refusedAtMs !== undefined && nowMs - refusedAtMs <= MEMORY_MS;
+/** Returns whether a job's caller was refused recently. */
+export function wasRecentlyRefused(refused: RefusedRequests, job: Job, nowMs: number): boolean {
+  const key = requestKeyOf(job);
+  const refusedAtMs = key === null ? undefined : refused.refusedAtMs.get(key);
+  return refusedAtMs !== undefined && nowMs - refusedAtMs <= RETRY_WINDOW_MS;
 }
 
-function keyOf(job: Job): string | null {
-  const own = job.parts.at(-1);
-  return own === undefined ? null : `${job.route}/${own.id}`;
+function requestKeyOf(job: Job): string | null {
+  const ownPart = job.parts.at(-1);
+  return ownPart === undefined ? null : `${job.route}/${ownPart.id}`;
 }
--- a/packages/coordination/src/core/scheduling/scheduler-choice.ts
+++ b/packages/coordination/src/core/scheduling/scheduler-choice.ts
@@ -1,36 +1,39 @@
 /**
- * Which gateway schedules a service. All gateways that see the same others choose the same one
- * without asking anybody. The load patterns: gateways of unlike size, from a quarter of a core to
- * more than one, of which a single one decides for all requests of a service; and gateways that
- * are killed and start again one after the other, or all at once, while callers press on.
+ * Chooses the gateway that schedules a service. All gateways with the same view of the fleet choose
+ * the same one without communicating. The choice accounts for gateways of different sizes, from a
+ * quarter of a core to more than one, since a single gateway decides for all requests of a service.
+ * It also stays stable when gateways are killed and restarted, one after the other or all at once,
+ * under continuous load.
  */
 import type { AnnouncedGateway } from '../forwarding/fleet-view.js';
 
 /**
- * Part of the largest share of a core that a gateway must have to schedule. Guards against a small
- * VM that decides for all: it shows as callers who wait for decisions while engines are idle. Well
- * under 1, so that several of like size can follow one another.
+ * Minimum core share of a scheduling gateway, relative to the largest gateway. Prevents a small VM
+ * from scheduling a whole service, which makes callers wait for decisions while engines are idle.
+ * The ratio is well below 1 so that several gateways of similar size can take over from one
+ * another.
  */
 const MIN_RELATIVE_SHARE = 0.7;
 
 /**
- * The gateway that schedules a service; null where none is there. The longest announced one takes
- * the first of the `services`, the next one the second. Guards against a scheduler that hands its
- * part to a gateway which has just started: the newcomer knows neither what engines hold nor what
- * they run, answers late while its code is still interpreted, and the others pass it over one by
- * one, so that for seconds several decide for the same engines without knowing of each other.
+ * Returns the gateway that schedules a service, or null if there is no gateway. The gateway that
+ * has been announced longest schedules the first of the `services`, the next one the second, and so
+ * on. This keeps a scheduler from handing over to a gateway that has just started. The new gateway
+ * knows neither the engines' caches nor their running requests, and it responds slowly while its
+ * code is still interpreted. Other gateways would then bypass it one by one, and for seconds
+ * several schedulers would assign work to the same engines without knowing of each other.
  */
 export function chooseScheduler(
   gateways: readonly AnnouncedGateway[],
   service: string,
   services: readonly string[],
 ): string | null {
-  const largest = Math.max(...gateways.map(({ coreShare }) => coreShare));
-  const fit = gateways
-    .filter(({ coreShare }) => coreShare >= largest * MIN_RELATIVE_SHARE)
+  const largestShare = Math.max(...gateways.map(({ coreShare }) => coreShare));
+  const eligible = gateways
+    .filter(({ coreShare }) => coreShare >= largestShare * MIN_RELATIVE_SHARE)
     .sort(byAnnouncement);
   const rank = Math.max(0, [...services].sort().indexOf(service));
-  return fit[rank % fit.length]?.id ?? null;
+  return eligible[rank % eligible.length]?.id ?? null;
 }
 
 function byAnnouncement(left: AnnouncedGateway, right: AnnouncedGateway): number {
--- a/packages/coordination/src/core/scheduling/scheduler-state.ts
+++ b/packages/coordination/src/core/scheduling/scheduler-state.ts
@@ -1,72 +1,72 @@
 /**
- * The state of one service's scheduler: what it knows of the engines, which jobs wait and which are
- * decided. The decisions over it stand in the files beside.
+ * State of one service's scheduler: what it knows about the engines, and which jobs are queued or
+ * decided. The functions that make decisions are in the other modules of this folder.
  */
 import type { EngineSpec, PromptPart, TargetEntry } from '../forwarding/fleet.js';
-import { type Connections, createConnections, forgetConnections } from './connections.js';
+import { type Connections, createConnections, pruneConnections } from './connections.js';
 import { type Permits, UNLIMITED } from '../rate-limits/rate-limiter.js';
 import type { Decision, Job } from './job.js';
 import type { SchedulerOptions } from './options.js';
-import { replaceHeld } from './prompt-cache.js';
+import { mergeCacheListing } from './prompt-cache.js';
 import { type RouteSizes, createRouteSizes } from './ranking.js';
-import type { Holders, ReadCost } from './read-cost.js';
-import { type Returners, createReturners } from './returners.js';
+import type { CacheHolders, PrefillCost } from './read-cost.js';
+import { type RefusedRequests, createRefusedRequests } from './returners.js';
 import { type SizeClass, type SizeFairness, createSizeFairness } from './size-fairness.js';
-import { type TargetLoad, createTargetLoad, noteEntry } from './target-load.js';
+import { type TargetLoad, createTargetLoad, updateEntry } from './target-load.js';
 
-/** A job that waits. */
-export interface Waiting {
+/** A job in the queue of an engine. */
+export interface QueuedJob {
   readonly job: Job;
   readonly sizeClass: SizeClass;
-  readonly returned: boolean;
+  readonly isRetry: boolean;
   readonly value: number;
   readonly submittedAtMs: number;
-  askedAtMs: number;
-  /** Since when it cannot be on time any more, null while it can. */
+  lastPolledAtMs: number;
+  /** Time since which the job can no longer be on time, or null if it still can. */
   lateSinceMs: number | null;
-  /** The engine whose line it stands in. */
+  /** The engine in whose queue the job is. */
   target: string;
-  /** What was last found out about reading it, null before. */
-  estimate: Estimate | null;
+  /** Most recently computed prefill costs, or null if there are none yet. */
+  cachedCost: CachedCost | null;
 }
 
-/** What was found out about a waiting job a moment ago. */
-export interface Estimate {
+/** Recently computed prefill costs of a queued job. */
+export interface CachedCost {
   readonly atMs: number;
-  /** Who holds its parts. */
-  readonly holders: Holders;
-  /** What reading it costs the engine in whose line it stands; null until that was asked. */
-  own: { readonly engineId: string; readonly cost: ReadCost } | null;
+  /** The engines that hold the job's cached parts. */
+  readonly holders: CacheHolders;
+  /** Cost on the engine in whose queue the job is, or null until it is first needed. */
+  own: { readonly engineId: string; readonly cost: PrefillCost } | null;
 }
 
-/** A job that was given to engines. */
-interface Running {
+/** A job that has been decided. */
+interface DecidedJob {
   readonly decision: Decision;
-  readonly forgetAtMs: number;
+  readonly expiresAtMs: number;
 }
 
 /** The scheduler of one service. */
 export interface Scheduler {
   readonly options: SchedulerOptions;
-  /** Whether engines that name a rate limit may be sent one more request. */
+  /** Whether engines that announce a rate limit may be sent another request. */
   readonly permits: Permits;
   readonly targets: Map<string, TargetLoad>;
-  readonly waiting: Map<string, Waiting>;
-  /** The same jobs by the engine in whose line they stand. */
-  readonly lines: Map<string, Set<Waiting>>;
-  /** Decided jobs, so that a repeated question gets the same answer. */
-  readonly decided: Map<string, Running>;
+  readonly waiting: Map<string, QueuedJob>;
+  /** The same jobs by the engine in whose queue they are. */
+  readonly queues: Map<string, Set<QueuedJob>>;
+  /** Decided jobs by job id, so that a repeated request gets the same answer. */
+  readonly decided: Map<string, DecidedJob>;
   readonly sizes: RouteSizes;
   readonly fairness: SizeFairness;
-  readonly returners: Returners;
+  readonly refusedRequests: RefusedRequests;
   readonly connections: Connections;
-  /** When it was last asked about a job. */
-  askedAtMs: number;
-  /** When idle engines last looked at the lines of others. */
-  stoleAtMs: number;
+  /** Time of the most recent request about a job. */
+  lastRequestAtMs: number;
+  /** Time at which idle engines last tried to steal work. */
+  lastStealAtMs: number;
 }
 
-/** A scheduler without targets. */
+/** Returns a scheduler without targets. */
 export function createScheduler(
   options: SchedulerOptions,
   permits: Permits = UNLIMITED,
@@ -76,18 +76,18 @@
     permits,
     targets: new Map(),
     waiting: new Map(),
-    lines: new Map(),
+    queues: new Map(),
     decided: new Map(),
     sizes: createRouteSizes(),
     fairness: createSizeFairness(),
-    returners: createReturners(),
+    refusedRequests: createRefusedRequests(),
     connections: createConnections(),
-    askedAtMs: -Infinity,
-    stoleAtMs: -Infinity,
+    lastRequestAtMs: -Infinity,
+    lastStealAtMs: -Infinity,
   };
 }
 
-/** Follows the targets of the service; what is known of those that stay is kept. */
+/** Updates the targets of the service, keeping the state of those that remain. */
 export function noteEngines(
   scheduler: Scheduler,
   entries: readonly TargetEntry[],
@@ -97,43 +97,50 @@
   for (const id of scheduler.targets.keys()) {
     if (!present.has(id)) scheduler.targets.delete(id);
   }
-  forgetConnections(scheduler.connections, (id) => present.has(id));
+  pruneConnections(scheduler.connections, (id) => present.has(id));
   for (const entry of entries) {
     const load = scheduler.targets.get(entry.id);
     if (load === undefined) {
       scheduler.targets.set(entry.id, createTargetLoad(entry, spec, scheduler.permits));
-    } else noteEntry(load, entry);
+    } else updateEntry(load, entry);
   }
 }
 
-/** An engine carries out an order: it takes no work until then, or until its phase has changed. */
+/**
+ * Suspends an engine that carries out an order. It gets no work until the given time or until its
+ * phase has changed.
+ */
 export function suspendEngine(scheduler: Scheduler, id: string, untilMs: number): void {
   const load = scheduler.targets.get(id);
   if (load !== undefined) load.suspendedUntilMs = untilMs;
 }
 
-/** Takes in what an engine's cache holds; what was given to it since stays noted. */
+/**
+ * Merges the contents that an engine reported into the model of its cache. Prompts that were
+ * assigned to it meanwhile stay recorded.
+ */
 export function seedCache(scheduler: Scheduler, id: string, parts: readonly PromptPart[]): void {
   const load = scheduler.targets.get(id);
-  if (load !== undefined) replaceHeld(load.cache, parts);
+  if (load !== undefined) mergeCacheListing(load.cache, parts);
 }
 
 /**
- * Engines whose caches this scheduler has to ask for: it has not decided anything for a while, so
- * another process may have, and what it knows of them is old. Guards against a change of the
- * process that schedules: it shows as shared parts that all engines read again.
+ * Returns the engines whose cache contents must be requested. This is the case when the scheduler
+ * has not been used for a while: another process may have scheduled in the meantime, so the cache
+ * models are outdated. Without this refresh, every engine prefills the shared parts again after a
+ * change of scheduler.
  */
 export function enginesToList(scheduler: Scheduler, nowMs: number): readonly string[] {
-  const isStale = nowMs - scheduler.askedAtMs > scheduler.options.staleAfterMs;
-  scheduler.askedAtMs = nowMs;
+  const isStale = nowMs - scheduler.lastRequestAtMs > scheduler.options.staleAfterMs;
+  scheduler.lastRequestAtMs = nowMs;
   return isStale ? [...scheduler.targets.keys()] : [];
 }
 
-/** Requests for which each engine reads or makes tokens, by engine. */
+/** Returns the number of requests that each engine prefills or decodes, by engine id. */
 export function engineRequests(scheduler: Scheduler): ReadonlyMap<string, number> {
   const requests = new Map<string, number>();
   for (const [id, load] of scheduler.targets) {
-    requests.set(id, new Set([...load.reading.keys(), ...load.streaming.keys()]).size);
+    requests.set(id, new Set([...load.prefills.keys(), ...load.streaming.keys()]).size);
   }
   return requests;
 }
--- a/packages/coordination/src/core/scheduling/scheduler.ts
+++ b/packages/coordination/src/core/scheduling/scheduler.ts
@@ -1,115 +1,123 @@
 /**
- * The waiting lines of a service's engines. One gateway runs the scheduler of a service for all of
- * them: it sees every prompt, so it knows what each engine has still to read and what its cache
- * holds. A job joins the line of the engine that would answer it first; an engine whose line is
- * empty takes a job from another one. State and messages in, decisions out.
+ * Schedules the jobs of a service onto its engines. One gateway runs the scheduler for all
+ * gateways: it sees every prompt and therefore knows the pending prefills and the cache contents of
+ * each engine. A job joins the queue of the engine that would answer it first, and an engine with
+ * an empty queue steals work from another one. The functions do no I/O: they update the state and
+ * return decisions.
  */
 import { dispatch } from './dispatching.js';
 import { type Decision, type Job, type JobEvent, JobEventKind, RefusalReason } from './job.js';
-import { bestPlace } from './placing.js';
-import { forgetParts, notePrompt } from './prompt-cache.js';
-import { jobSize, jobValue, noteSize } from './ranking.js';
-import { noteReading } from './read-time.js';
+import { choosePlacement } from './placing.js';
+import { recordPrompt, removeParts } from './prompt-cache.js';
+import { jobSize, jobValue, recordSize } from './ranking.js';
+import { recordPrefill } from './read-time.js';
 import { rateLimitRefusal } from './rate-limited.js';
-import { admissionRefusal, refuse, refuseHopeless } from './refusing.js';
-import { isReturner } from './returners.js';
-import type { Scheduler, Waiting } from './scheduler-state.js';
-import { noteAskedSize } from './size-fairness.js';
+import { admissionRefusal, refuse, refuseUnservableJobs } from './refusing.js';
+import { wasRecentlyRefused } from './returners.js';
+import type { QueuedJob, Scheduler } from './scheduler-state.js';
+import { recordRequestedSize } from './size-fairness.js';
 import {
   type TargetLoad,
-  endReading,
-  noteBreak,
-  noteFailure,
-  noteSuccess,
-  unreadOf,
+  endPrefill,
+  recordBrokenAnswer,
+  recordFailure,
+  recordSuccess,
+  uncachedPartsOf,
 } from './target-load.js';
-import { joinLine, leaveLine } from './waiting-lines.js';
+import { dequeue, enqueue } from './waiting-lines.js';
 
-/** Takes a job in, or hears again of one that waits or is decided. */
+/** Accepts a new job, or handles a repeated request for a job that is queued or decided. */
 export function submitJob(scheduler: Scheduler, job: Job, nowMs: number): readonly Decision[] {
   const decided = scheduler.decided.get(job.id);
   if (decided !== undefined) return [decided.decision];
-  const known = scheduler.waiting.get(job.id);
-  if (known !== undefined) {
-    known.askedAtMs = nowMs;
+  const alreadyQueued = scheduler.waiting.get(job.id);
+  if (alreadyQueued !== undefined) {
+    alreadyQueued.lastPolledAtMs = nowMs;
     return [];
   }
-  const waiting = admit(scheduler, job, nowMs);
-  const limited = rateLimitRefusal(scheduler, job, nowMs);
-  if (limited !== null) return [limited];
-  const place = bestPlace(scheduler, waiting, nowMs);
-  if (place === null) return [refuse(scheduler, job, RefusalReason.NoTarget, 0, nowMs)];
-  const refusal = admissionRefusal(scheduler, waiting, place, nowMs);
-  if (refusal !== null) return [refuse(scheduler, job, refusal, place.aheadMs, nowMs)];
-  joinLine(scheduler, waiting, place.load.entry.id);
+  const queuedJob = createQueuedJob(scheduler, job, nowMs);
+  const limitRefusal = rateLimitRefusal(scheduler, job, nowMs);
+  if (limitRefusal !== null) return [limitRefusal];
+  const placement = choosePlacement(scheduler, queuedJob, nowMs);
+  if (placement === null) return [refuse(scheduler, job, RefusalReason.NoTarget, 0, nowMs)];
+  const refusal = admissionRefusal(scheduler, queuedJob, placement, nowMs);
+  if (refusal !== null) return [refuse(scheduler, job, refusal, placement.aheadMs, nowMs)];
+  enqueue(scheduler, queuedJob, placement.load.entry.id);
   return dispatch(scheduler, nowMs);
 }
 
-/** Takes in what a gateway reports of its jobs. */
+/** Handles the events that a gateway reports about its jobs. */
 export function noteJobEvents(
   scheduler: Scheduler,
   events: readonly JobEvent[],
   nowMs: number,
 ): readonly Decision[] {
-  for (const event of events) noteJobEvent(scheduler, event, nowMs);
+  for (const event of events) handleJobEvent(scheduler, event, nowMs);
   return dispatch(scheduler, nowMs);
 }
 
-/** Lets time pass: jobs that became hopeless are refused, engines that fell idle get work. */
+/**
+ * Advances time: refuses jobs that can no longer be served in time and gives work to idle engines.
+ */
 export function tickScheduler(scheduler: Scheduler, nowMs: number): readonly Decision[] {
   for (const [id, running] of scheduler.decided) {
-    if (running.forgetAtMs > nowMs) continue;
+    if (running.expiresAtMs > nowMs) continue;
     scheduler.decided.delete(id);
-    forgetJob(scheduler, id);
+    removeJob(scheduler, id);
   }
-  return [...refuseHopeless(scheduler, nowMs), ...dispatch(scheduler, nowMs)];
+  return [...refuseUnservableJobs(scheduler, nowMs), ...dispatch(scheduler, nowMs)];
 }
 
-function admit(scheduler: Scheduler, job: Job, nowMs: number): Waiting {
-  noteSize(scheduler.sizes, job);
+function createQueuedJob(scheduler: Scheduler, job: Job, nowMs: number): QueuedJob {
+  recordSize(scheduler.sizes, job);
   return {
     job,
-    sizeClass: noteAskedSize(scheduler.fairness, job.route, jobSize(job)),
-    returned: isReturner(scheduler.returners, job, nowMs),
+    sizeClass: recordRequestedSize(scheduler.fairness, job.route, jobSize(job)),
+    isRetry: wasRecentlyRefused(scheduler.refusedRequests, job, nowMs),
     value: jobValue(scheduler.sizes, job),
     submittedAtMs: nowMs,
-    askedAtMs: nowMs,
+    lastPolledAtMs: nowMs,
     lateSinceMs: null,
     target: '',
-    estimate: null,
+    cachedCost: null,
   };
 }
 
-function noteJobEvent(scheduler: Scheduler, event: JobEvent, nowMs: number): void {
+function handleJobEvent(scheduler: Scheduler, event: JobEvent, nowMs: number): void {
   const load = scheduler.targets.get(event.target);
-  const isOver = event.kind === JobEventKind.Ended || event.kind === JobEventKind.Served;
-  if (isOver) forgetJob(scheduler, event.jobId);
+  const hasEnded = event.kind === JobEventKind.Ended || event.kind === JobEventKind.Served;
+  if (hasEnded) removeJob(scheduler, event.jobId);
   if (load === undefined) return;
-  if (event.kind === JobEventKind.Served) noteSuccess(load);
-  if (event.kind === JobEventKind.Failed) noteFailure(load, scheduler.options, nowMs);
-  if (event.kind === JobEventKind.Broke) noteBreak(load, scheduler.options, nowMs);
-  if (event.kind === JobEventKind.Read) noteRead(scheduler, load, event.jobId, nowMs);
+  if (event.kind === JobEventKind.Served) recordSuccess(load);
+  if (event.kind === JobEventKind.Failed) recordFailure(load, scheduler.options, nowMs);
+  if (event.kind === JobEventKind.Broke) recordBrokenAnswer(load, scheduler.options, nowMs);
+  if (event.kind === JobEventKind.Read) completePrefill(scheduler, load, event.jobId, nowMs);
 }
 
-/** Nothing of a job runs any more; a prompt that was not read to its end is not in the cache. */
-function forgetJob(scheduler: Scheduler, jobId: string): void {
-  leaveLine(scheduler, jobId);
+/** Removes all state of a job. A prompt whose prefill did not finish is not in the cache. */
+function removeJob(scheduler: Scheduler, jobId: string): void {
+  dequeue(scheduler, jobId);
   for (const load of scheduler.targets.values()) {
-    const reading = endReading(load, jobId);
-    if (reading !== null) forgetParts(load.cache, unreadOf(reading));
+    const prefill = endPrefill(load, jobId);
+    if (prefill !== null) removeParts(load.cache, uncachedPartsOf(prefill));
     load.streaming.delete(jobId);
   }
 }
 
-function noteRead(scheduler: Scheduler, load: TargetLoad, jobId: string, nowMs: number): void {
-  noteSuccess(load);
-  const reading = endReading(load, jobId);
-  if (reading === null) return;
-  // The engine that goes on keeps what it fetches like what it read itself.
+function completePrefill(
+  scheduler: Scheduler,
+  load: TargetLoad,
+  jobId: string,
+  nowMs: number,
+): void {
+  recordSuccess(load);
+  const prefill = endPrefill(load, jobId);
+  if (prefill === null) return;
+  // The decode engine keeps the parts that it fetches, just like the parts that it prefills.
   for (const other of scheduler.targets.values()) {
-    if (other !== load && other.streaming.has(jobId)) notePrompt(other.cache, reading.parts);
+    if (other !== load && other.streaming.has(jobId)) recordPrompt(other.cache, prefill.parts);
   }
-  const begunAtMs = Math.max(reading.startedAtMs, load.lastReadEndAtMs);
-  load.lastReadEndAtMs = nowMs;
-  noteReading(load.readTime, reading.tokens, nowMs - begunAtMs);
+  const startedAtMs = Math.max(prefill.startedAtMs, load.lastPrefillEndAtMs);
+  load.lastPrefillEndAtMs = nowMs;
+  recordPrefill(load.prefillTimeModel, prefill.tokens, nowMs - startedAtMs);
 }
--- a/packages/coordination/src/core/scheduling/target-load.ts
+++ b/packages/coordination/src/core/scheduling/target-load.ts
@@ -1,4 +1,4 @@
-/** What a scheduler knows of one engine: its work, its cache, its speed and its health. */
+/** Tracks the work, cache, speed and health of one engine, as known to the scheduler. */
 import {
   EnginePhase,
   type EngineSpec,
@@ -6,45 +6,49 @@
   type TargetEntry,
 } from '../forwarding/fleet.js';
 import type { Permits } from '../rate-limits/rate-limiter.js';
-import { type PromptCache, createPromptCache, heldParts } from './prompt-cache.js';
-import { FULL_TOKENS_PER_MS, type ReadTime, createReadTime } from './read-time.js';
+import { type PromptCache, countCachedParts, createPromptCache } from './prompt-cache.js';
+import {
+  PREFILL_TOKENS_PER_MS,
+  type PrefillTimeModel,
+  createPrefillTimeModel,
+} from './read-time.js';
 import type { SchedulerOptions } from './options.js';
 
-/** A prompt that an engine was given and has not read yet. */
-export interface Reading {
+/** A prompt that an engine was given and has not finished prefilling. */
+export interface Prefill {
   readonly jobId: string;
   readonly parts: readonly PromptPart[];
-  /** Parts from the beginning that were in the cache already; the rest is being read. */
-  readonly heldParts: number;
+  /** Number of leading parts that were already cached; the rest is being prefilled. */
+  readonly cachedParts: number;
   readonly tokens: number;
   readonly predictedMs: number;
   readonly startedAtMs: number;
 }
 
-/** One engine. */
+/** State of one engine. */
 export interface TargetLoad {
   entry: TargetEntry;
-  /** Of all engines; what is asked of them is whether this one may be sent a request. */
+  /** Rate limit permits of all engines, used to check whether this engine may be sent a request. */
   readonly permits: Permits;
   readonly cache: PromptCache;
-  /** Time that a token's memory takes over the engine's link. */
+  /** Time to transfer the KV cache of one token over the engine's link. */
   readonly transferMsPerToken: number;
-  /** Of its present phase. */
-  readTime: ReadTime;
-  /** In the order in which they were given. */
-  readonly reading: Map<string, Reading>;
-  /** Parts that it is given to read and has not read yet, with how many of its readings have them. */
-  readonly unreadParts: Map<string, number>;
-  /** Tokens in memory of the requests that make tokens here, by job. */
+  /** Prefill time model for the engine's current phase. */
+  prefillTimeModel: PrefillTimeModel;
+  /** Unfinished prefills by job id, in the order in which they were assigned. */
+  readonly prefills: Map<string, Prefill>;
+  /** Parts that are not prefilled yet, with the number of unfinished prefills that include them. */
+  readonly pendingParts: Map<string, number>;
+  /** Tokens in memory of the requests that this engine decodes, by job id. */
   readonly streaming: Map<string, number>;
-  lastReadEndAtMs: number;
+  lastPrefillEndAtMs: number;
   suspendedUntilMs: number;
-  failuresInARow: number;
-  /** Answers in a row that it broke off. */
-  breaksInARow: number;
+  consecutiveFailures: number;
+  /** Number of consecutive answers that the engine broke off. */
+  consecutiveBreaks: number;
 }
 
-/** An engine that nothing is known of. */
+/** Returns the state of an engine without any history. */
 export function createTargetLoad(
   entry: TargetEntry,
   spec: EngineSpec,
@@ -55,14 +59,14 @@
     permits,
     cache: createPromptCache(spec.kvCapacityTokens),
     transferMsPerToken: transferMsPerToken(spec),
-    readTime: createReadTime(priorTokensPerMs(entry.phase)),
-    reading: new Map(),
-    unreadParts: new Map(),
+    prefillTimeModel: createPrefillTimeModel(priorTokensPerMs(entry.phase)),
+    prefills: new Map(),
+    pendingParts: new Map(),
     streaming: new Map(),
-    lastReadEndAtMs: 0,
+    lastPrefillEndAtMs: 0,
     suspendedUntilMs: 0,
-    failuresInARow: 0,
-    breaksInARow: 0,
+    consecutiveFailures: 0,
+    consecutiveBreaks: 0,
   };
 }
 
@@ -75,116 +79,133 @@
   return (kvTokenBytes * BITS_PER_BYTE * MS_PER_S) / (linkMbps * BITS_PER_MEGABIT);
 }
 
-/** Engines that make tokens read at half speed beside that, as their data sheet says. */
-const DECODE_READ_SHARE = 0.5;
+/** Decode engines prefill at half speed while decoding, according to their data sheet. */
+const DECODE_PREFILL_SPEED_RATIO = 0.5;
 
 function priorTokensPerMs(phase: EnginePhase | null): number {
-  return phase === EnginePhase.Decode ? FULL_TOKENS_PER_MS * DECODE_READ_SHARE : FULL_TOKENS_PER_MS;
+  return phase === EnginePhase.Decode
+    ? PREFILL_TOKENS_PER_MS * DECODE_PREFILL_SPEED_RATIO
+    : PREFILL_TOKENS_PER_MS;
 }
 
-/** Reading that an engine still has before it, by prediction. */
-export function pendingReadMs(load: TargetLoad, nowMs: number): number {
+/** Returns the predicted time to finish the prefills assigned to an engine. */
+export function pendingPrefillMs(load: TargetLoad, nowMs: number): number {
   let pendingMs = 0;
   let isFirst = true;
-  for (const reading of load.reading.values()) {
-    // The engine reads in order: only the first prompt has had some of its time.
-    const begunAtMs = Math.max(reading.startedAtMs, load.lastReadEndAtMs);
-    const spentMs = isFirst ? Math.max(0, nowMs - begunAtMs) : 0;
-    pendingMs += Math.max(0, reading.predictedMs - spentMs);
+  for (const prefill of load.prefills.values()) {
+    // Prefills run in order, so only the first one has made progress.
+    const startedAtMs = Math.max(prefill.startedAtMs, load.lastPrefillEndAtMs);
+    const spentMs = isFirst ? Math.max(0, nowMs - startedAtMs) : 0;
+    pendingMs += Math.max(0, prefill.predictedMs - spentMs);
     isFirst = false;
   }
   return pendingMs;
 }
 
 /**
- * Parts from the beginning of a prompt that an engine can hand over now. Guards against fetching
- * what is still being read: it shows as a prompt that is read in full where a transfer was meant.
+ * Returns the number of leading parts of a prompt that an engine can transfer now. Parts that are
+ * still being prefilled are excluded; fetching them would result in a full prefill instead of a
+ * transfer.
  */
-export function partsToHandOver(load: TargetLoad, parts: readonly PromptPart[]): number {
-  const held = heldParts(load.cache, parts);
-  if (load.unreadParts.size === 0) return held;
-  const firstUnread = parts.findIndex((part) => load.unreadParts.has(part.id));
-  return firstUnread === -1 ? held : Math.min(held, firstUnread);
-}
-
-/** An engine is given a prompt. */
-export function beginReading(load: TargetLoad, reading: Reading): void {
-  load.reading.set(reading.jobId, reading);
-  for (const { id } of unreadOf(reading)) {
-    load.unreadParts.set(id, (load.unreadParts.get(id) ?? 0) + 1);
+export function countTransferableParts(load: TargetLoad, parts: readonly PromptPart[]): number {
+  const cachedParts = countCachedParts(load.cache, parts);
+  if (load.pendingParts.size === 0) return cachedParts;
+  const firstPending = parts.findIndex((part) => load.pendingParts.has(part.id));
+  return firstPending === -1 ? cachedParts : Math.min(cachedParts, firstPending);
+}
+
+/** Records that an engine is given a prompt. */
+export function beginPrefill(load: TargetLoad, prefill: Prefill): void {
+  load.prefills.set(prefill.jobId, prefill);
+  for (const { id } of uncachedPartsOf(prefill)) {
+    load.pendingParts.set(id, (load.pendingParts.get(id) ?? 0) + 1);
   }
 }
 
-/** An engine has read a prompt, or never will; gives the reading, null where there was none. */
-export function endReading(load: TargetLoad, jobId: string): Reading | null {
-  const reading = load.reading.get(jobId);
-  if (reading === undefined) return null;
-  load.reading.delete(jobId);
-  for (const { id } of unreadOf(reading)) {
-    const left = (load.unreadParts.get(id) ?? 0) - 1;
-    if (left > 0) load.unreadParts.set(id, left);
-    else load.unreadParts.delete(id);
+/** Removes a prefill that finished or was abandoned, and returns it, or null if there was none. */
+export function endPrefill(load: TargetLoad, jobId: string): Prefill | null {
+  const prefill = load.prefills.get(jobId);
+  if (prefill === undefined) return null;
+  load.prefills.delete(jobId);
+  for (const { id } of uncachedPartsOf(prefill)) {
+    const remaining = (load.pendingParts.get(id) ?? 0) - 1;
+    if (remaining > 0) load.pendingParts.set(id, remaining);
+    else load.pendingParts.delete(id);
   }
-  return reading;
+  return prefill;
 }
 
-/** Parts of a prompt that an engine did not have in its cache when it was given. */
-export function unreadOf(reading: Reading): readonly PromptPart[] {
-  return reading.parts.slice(reading.heldParts);
+/** Returns the parts of a prompt that were not in the engine's cache when it was given. */
+export function uncachedPartsOf(prefill: Prefill): readonly PromptPart[] {
+  return prefill.parts.slice(prefill.cachedParts);
 }
 
-/** Whether an engine may be given work now. */
+/** Returns whether an engine may be given work now. */
 export function isUsable(load: TargetLoad, nowMs: number): boolean {
-  return isServing(load, nowMs) && load.permits.has(load.entry.id);
+  return isHealthy(load, nowMs) && load.permits.has(load.entry.id);
 }
 
-/** Whether an engine may be given work as far as its health goes, whatever rate limit it names. */
-export function isServing(load: TargetLoad, nowMs: number): boolean {
+/** Returns whether the state of an engine permits work, regardless of its rate limit. */
+export function isHealthy(load: TargetLoad, nowMs: number): boolean {
   return !load.entry.draining && load.suspendedUntilMs <= nowMs;
 }
 
-/** Whether an engine can be given one more prompt now. */
-export function hasRoom(load: TargetLoad, options: SchedulerOptions, nowMs: number): boolean {
+/** Returns whether an engine can be given another prompt now. */
+export function hasCapacity(load: TargetLoad, options: SchedulerOptions, nowMs: number): boolean {
   if (!isUsable(load, nowMs)) return false;
-  if (isOnTrial(load) && load.reading.size > 0) return false;
-  if (load.reading.size >= options.maxReading) return false;
-  return pendingReadMs(load, nowMs) <= options.lookaheadMs;
+  if (isHalfOpen(load) && load.prefills.size > 0) return false;
+  if (load.prefills.size >= options.maxPrefillsPerEngine) return false;
+  return pendingPrefillMs(load, nowMs) <= options.lookaheadMs;
 }
 
-/** Whether an engine makes tokens for callers. */
-export function makesTokens(load: TargetLoad): boolean {
+/** Returns whether an engine generates tokens for callers. */
+export function canDecode(load: TargetLoad): boolean {
   return load.entry.phase !== EnginePhase.Prefill;
 }
 
-/** Leaves a target alone for a while; it is tried again with one job at a time. */
-export function noteFailure(load: TargetLoad, options: SchedulerOptions, nowMs: number): void {
-  const forMs = Math.min(options.maxSuspendMs, options.suspendMs * 2 ** load.failuresInARow);
-  load.failuresInARow += 1;
-  load.suspendedUntilMs = nowMs + forMs;
+/**
+ * Suspends a failed target with exponential backoff. Afterwards it is half-open and gets one job at
+ * a time.
+ */
+export function recordFailure(load: TargetLoad, options: SchedulerOptions, nowMs: number): void {
+  const suspendForMs = Math.min(
+    options.maxSuspendMs,
+    options.initialSuspendMs * 2 ** load.consecutiveFailures,
+  );
+  load.consecutiveFailures += 1;
+  load.suspendedUntilMs = nowMs + suspendForMs;
 }
 
-/** Counts an answer that a target broke off; several in a row are a failure. */
-export function noteBreak(load: TargetLoad, options: SchedulerOptions, nowMs: number): void {
-  load.breaksInARow += 1;
-  if (load.breaksInARow >= options.maxBreaksInARow) noteFailure(load, options, nowMs);
+/** Counts an answer that a target broke off; several in a row count as a failure. */
+export function recordBrokenAnswer(
+  load: TargetLoad,
+  options: SchedulerOptions,
+  nowMs: number,
+): void {
+  load.consecutiveBreaks += 1;
+  if (load.consecutiveBreaks >= options.maxConsecutiveBreaks) recordFailure(load, options, nowMs);
 }
 
-/** Whether a target failed lately and has not served since: it is given one job at a time. */
-export function isOnTrial(load: TargetLoad): boolean {
-  return load.failuresInARow > 0;
+/**
+ * Returns whether a target has failed and not succeeded since; it is then given one job at a time.
+ */
+export function isHalfOpen(load: TargetLoad): boolean {
+  return load.consecutiveFailures > 0;
 }
 
-/** A target served: whatever it failed before is over. */
-export function noteSuccess(load: TargetLoad): void {
-  load.failuresInARow = 0;
-  load.breaksInARow = 0;
+/** Clears the failure state of a target that served a request. */
+export function recordSuccess(load: TargetLoad): void {
+  load.consecutiveFailures = 0;
+  load.consecutiveBreaks = 0;
   load.suspendedUntilMs = 0;
 }
 
-/** Follows what a target says of itself; in another phase it reads at another speed. */
-export function noteEntry(load: TargetLoad, entry: TargetEntry): void {
+/**
+ * Updates the announced entry of a target and resets the prefill time model if its phase changed.
+ */
+export function updateEntry(load: TargetLoad, entry: TargetEntry): void {
   if (load.entry.phase !== entry.phase) {
-    load.readTime = createReadTime(priorTokensPerMs(entry.phase));
+    load.prefillTimeModel = createPrefillTimeModel(priorTokensPerMs(entry.phase));
     load.suspendedUntilMs = 0;
   }
   load.entry = entry;
--- a/packages/coordination/src/core/scheduling/waiting-lines.ts
+++ b/packages/coordination/src/core/scheduling/waiting-lines.ts
@@ -1,37 +1,37 @@
 /**
- * The jobs that wait, in the line of the engine that each stands in. A line is looked at many times
- * for each job, so it is kept beside the list of all.
+ * Maintains one queue of jobs per engine. The queues are kept alongside the map of all queued jobs
+ * because a queue is read many times for each job.
  */
-import type { Scheduler, Waiting } from './scheduler-state.js';
+import type { QueuedJob, Scheduler } from './scheduler-state.js';
 
-const EMPTY: ReadonlySet<Waiting> = new Set();
+const EMPTY_QUEUE: ReadonlySet<QueuedJob> = new Set();
 
-/** The jobs that wait for an engine, oldest first. */
-export function lineOf(scheduler: Scheduler, engineId: string): ReadonlySet<Waiting> {
-  return scheduler.lines.get(engineId) ?? EMPTY;
+/** Returns the jobs queued for an engine, oldest first. */
+export function queueOf(scheduler: Scheduler, engineId: string): ReadonlySet<QueuedJob> {
+  return scheduler.queues.get(engineId) ?? EMPTY_QUEUE;
 }
 
-/** A job begins to wait for an engine. */
-export function joinLine(scheduler: Scheduler, waiting: Waiting, engineId: string): void {
-  waiting.target = engineId;
-  scheduler.waiting.set(waiting.job.id, waiting);
-  const line = scheduler.lines.get(engineId);
-  if (line === undefined) scheduler.lines.set(engineId, new Set([waiting]));
-  else line.add(waiting);
+/** Adds a job to the queue of an engine. */
+export function enqueue(scheduler: Scheduler, queuedJob: QueuedJob, engineId: string): void {
+  queuedJob.target = engineId;
+  scheduler.waiting.set(queuedJob.job.id, queuedJob);
+  const queue = scheduler.queues.get(engineId);
+  if (queue === undefined) scheduler.queues.set(engineId, new Set([queuedJob]));
+  else queue.add(queuedJob);
 }
 
-/** A job waits no longer. */
-export function leaveLine(scheduler: Scheduler, jobId: string): void {
-  const waiting = scheduler.waiting.get(jobId);
-  if (waiting === undefined) return;
+/** Removes a job from its queue. */
+export function dequeue(scheduler: Scheduler, jobId: string): void {
+  const queuedJob = scheduler.waiting.get(jobId);
+  if (queuedJob === undefined) return;
   scheduler.waiting.delete(jobId);
-  const line = scheduler.lines.get(waiting.target);
-  line?.delete(waiting);
-  if (line?.size === 0) scheduler.lines.delete(waiting.target);
+  const queue = scheduler.queues.get(queuedJob.target);
+  queue?.delete(queuedJob);
+  if (queue?.size === 0) scheduler.queues.delete(queuedJob.target);
 }
 
-/** A job waits for another engine from now on. */
-export function changeLine(scheduler: Scheduler, waiting: Waiting, engineId: string): void {
-  leaveLine(scheduler, waiting.job.id);
-  joinLine(scheduler, waiting, engineId);
+/** Moves a job to the queue of another engine. */
+export function moveToQueue(scheduler: Scheduler, queuedJob: QueuedJob, engineId: string): void {
+  dequeue(scheduler, queuedJob.job.id);
+  enqueue(scheduler, queuedJob, engineId);
 }
--- a/packages/coordination/test/core/scheduling/scheduler-choice.test.ts
+++ b/packages/coordination/test/core/scheduling/scheduler-choice.test.ts
@@ -1,4 +1,4 @@
-/** The choice of the gateway that schedules. */
+/** Tests the choice of the gateway that schedules a service. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
@@ -15,14 +15,14 @@
   return { id, failureDomain: 'eros-hall', coreShare, announcedAtRevision };
 }
 
-describe('the gateway that schedules', () => {
-  it('is nobody where no gateway is there', () => {
+describe('chooseScheduler', () => {
+  it('returns null when there is no gateway', () => {
     assert.equal(chooseScheduler([], 's', SERVICES), null);
   });
 
-  // Callers wait seconds for their turn while engines are idle: the gateway that decides for all
-  // of them has a quarter of a core, and others have more than one.
-  it('is one of the largest', () => {
+  // Otherwise a gateway with a quarter of a core decides for all callers, and they wait seconds for
+  // a decision while engines are idle and other gateways have more than one core.
+  it('chooses one of the largest gateways', () => {
     const gateways = [1, 2, 3, 4, 5, 6].map((each) => gateway(each, each > 4 ? 1.35 : 0.243));
     const services = Array.from({ length: 50 }, (_, index) => `service-${String(index)}`);
     for (const service of services) {
@@ -31,25 +31,26 @@
     }
   });
 
-  // Answers come late for seconds after each restart. The gateway that schedules was killed, another
-  // one took over, and the first one got its part back the moment it was up again, knowing nothing.
-  it('stays the same when one starts again', () => {
+  // After each restart of the scheduling gateway, answers were late for seconds. Another gateway
+  // had taken over, but the first one got its role back as soon as it was up again, without any
+  // knowledge of engine state.
+  it('does not hand back to a gateway that restarted', () => {
     const before = [gateway(1, 0.5), gateway(2, 0.5), gateway(3, 0.5)];
-    const without = before.slice(1);
-    const after = [...without, gateway(1, 0.5, 9)];
+    const withoutFirst = before.slice(1);
+    const after = [...withoutFirst, gateway(1, 0.5, 9)];
     assert.equal(chooseScheduler(before, 's', SERVICES), '10.0.0.1:7380');
-    assert.equal(chooseScheduler(without, 's', SERVICES), '10.0.0.2:7380');
+    assert.equal(chooseScheduler(withoutFirst, 's', SERVICES), '10.0.0.2:7380');
     assert.equal(chooseScheduler(after, 's', SERVICES), '10.0.0.2:7380');
   });
 
-  it('is another one for each of several services', () => {
+  it('chooses a different gateway for each service', () => {
     const gateways = [1, 2, 3].map((each) => gateway(each, 0.5));
     const services = ['a', 'b', 'c'];
     const chosen = services.map((service) => chooseScheduler(gateways, service, services));
     assert.equal(new Set(chosen).size, 3);
   });
 
-  it('is the same for all, in whatever order they know each other', () => {
+  it('does not depend on the order of gateways and services', () => {
     const shares = fc.array(fc.double({ min: 0.1, max: 2, noNaN: true }), { minLength: 1 });
     fc.assert(
       fc.property(shares, fc.array(fc.string()), (coreShares, services) => {
--- a/packages/coordination/test/core/scheduling/scheduler-overload.test.ts
+++ b/packages/coordination/test/core/scheduling/scheduler-overload.test.ts
@@ -1,4 +1,4 @@
-/** Who is served and who is sent away when more comes than engines can do, on a virtual clock. */
+/** Tests which jobs are served and which are refused under overload, on a virtual clock. */
 import assert from 'node:assert/strict';
 import { beforeEach, describe, it } from 'node:test';
 import {
@@ -15,7 +15,7 @@
   submitJob,
   tickScheduler,
 } from '../../../src/index.js';
-import { SPEC, engine, job, read, runs } from '../../fixtures/scheduling.js';
+import { SPEC, engine, job, reportPrefilled, startedJobIds } from '../../fixtures/scheduling.js';
 
 describe('a scheduler', () => {
   let scheduler: Scheduler;
@@ -34,46 +34,51 @@
       noteEngines(scheduler, single, SPEC);
     });
 
-    // All gateways are back after a loss of power, and a scheduler with cold code gets a second's
-    // work at once. Half of its time went into idle engines that looked at all waiting jobs again at
-    // each question and each report; it fell behind, and callers waited while engines were idle.
-    it('lets idle engines look at other lines at intervals, not at each event', () => {
+    // After a power loss all gateways come back at once, and a scheduler whose code is not yet
+    // compiled receives a second's worth of jobs. It spent half its time letting idle engines
+    // evaluate every queued job again on each request and report, and fell behind while engines
+    // were idle.
+    it('lets idle engines steal work at intervals, not on every event', () => {
       submitJob(scheduler, job('a', 9000), 0);
-      const looks = new Set<number>();
+      const stealTimesMs = new Set<number>();
       for (let nowMs = 0; nowMs < 100; nowMs += 1) {
         submitJob(scheduler, job('b', 9000, { aimAtMs: 3000 }), nowMs);
-        looks.add(scheduler.stoleAtMs);
+        stealTimesMs.add(scheduler.lastStealAtMs);
       }
-      assert.ok(scheduler.waiting.size > 1, 'jobs wait');
-      assert.ok(looks.size <= 100 / SCHEDULER_OPTIONS.stealEveryMs + 1);
+      assert.ok(scheduler.waiting.size > 1, 'jobs are queued');
+      assert.ok(stealTimesMs.size <= 100 / SCHEDULER_OPTIONS.stealIntervalMs + 1);
     });
 
-    it('takes what is worth most for the time of the engine first', () => {
+    it('dispatches the job with the highest value per engine time first', () => {
       const first = job('a', 9000);
       submitJob(scheduler, first, 0);
       const long = job('b', 2000, { aimAtMs: 3000 });
       const short = job('a', 300, { aimAtMs: 3000 });
       submitJob(scheduler, long, 1);
       submitJob(scheduler, short, 2);
-      assert.deepEqual(runs(read(scheduler, first.id, 'reader-1', 500)), [short.id, long.id]);
+      assert.deepEqual(startedJobIds(reportPrefilled(scheduler, first.id, 'reader-1', 500)), [
+        short.id,
+        long.id,
+      ]);
     });
 
-    // Short questions come late while their engines are half idle. In a burst of them an engine was
-    // given one after the other, and started up for each in place of reading several in one step.
-    it('gives each engine several short prompts at once, and no second long one', () => {
+    // In a burst of short prompts an engine was given one after the other. It paid the start-up
+    // time for each instead of batching several into one step, so answers were late while engines
+    // were half idle.
+    it('gives an engine several short prompts at once but at most one long prompt', () => {
       const short = ['s1', 's2', 's3', 's4'].map((id) =>
         job('', 0, { parts: [{ id, tokens: 60 }] }),
       );
-      const granted = short.flatMap((each) => runs(submitJob(scheduler, each, 0)));
-      assert.equal(granted.length, short.length);
+      const started = short.flatMap((each) => startedJobIds(submitJob(scheduler, each, 0)));
+      assert.equal(started.length, short.length);
       const long = [job('b', 9000), job('b', 9000)];
-      const further = long.flatMap((each) => runs(submitJob(scheduler, each, 1)));
-      assert.ok(further.length <= 1);
+      const startedLater = long.flatMap((each) => startedJobIds(submitJob(scheduler, each, 1)));
+      assert.ok(startedLater.length <= 1);
     });
 
-    // Callers wait half a second for a refusal, and what is behind them in the line is late as well.
-    // A burst of long prompts fills the engine; whoever comes now can be served, but not on time.
-    it('tells a caller at once that it would be late, and does not let it wait', () => {
+    // A burst of long prompts fills the engine, so a new caller can be served, but not on time. If
+    // it is queued anyway, it waits half a second for its refusal and delays the jobs behind it.
+    it('refuses a job that would be late immediately instead of queuing it', () => {
       submitJob(scheduler, job('a', 9000), 0);
       submitJob(scheduler, job('b', 9000, { aimAtMs: 1500 }), 1);
       const [decision] = submitJob(scheduler, job('a', 1000, { aimAtMs: 500 }), 2);
@@ -82,73 +87,74 @@
       assert.equal(decision.retryAfterMs >= decision.aheadMs, true);
     });
 
-    it('sends a waiting caller away as soon as it is known to be late', () => {
+    it('refuses a queued job soon after it can no longer be on time', () => {
       const slow = job('s', 600, { parts: [{ id: 'slow', tokens: 600 }] });
       submitJob(scheduler, slow, 0);
       submitJob(scheduler, job('a', 9000), 0);
-      const waiting = job('b', 4000, { aimAtMs: 1100 });
-      assert.deepEqual(submitJob(scheduler, waiting, 1), []);
-      // The engine is slower than predicted: what was in time is late now.
-      read(scheduler, slow.id, 'reader-1', 400);
-      submitJob(scheduler, waiting, 401);
+      const queuedJob = job('b', 4000, { aimAtMs: 1100 });
+      assert.deepEqual(submitJob(scheduler, queuedJob, 1), []);
+      // The engine is slower than predicted, so the queued job can no longer be on time.
+      reportPrefilled(scheduler, slow.id, 'reader-1', 400);
+      submitJob(scheduler, queuedJob, 401);
       assert.deepEqual(tickScheduler(scheduler, 410), []);
       const [decision] = tickScheduler(scheduler, 470);
-      assert.equal(decision?.jobId, waiting.id);
+      assert.equal(decision?.jobId, queuedJob.id);
       assert.equal(decision.kind, DecisionKind.Refuse);
     });
 
-    it('refuses at once what cannot be read before its caller leaves', () => {
+    it('refuses a job immediately if it cannot be prefilled before its deadline', () => {
       submitJob(scheduler, job('a', 40_000), 0);
       const [decision] = submitJob(scheduler, job('b', 1000, { deadlineAtMs: 600 }), 1);
       assert.ok(decision?.kind === DecisionKind.Refuse);
       assert.equal(decision.reason, RefusalReason.TooLate);
     });
 
-    it('refuses a waiting job as soon as it has become hopeless, not at its deadline', () => {
+    it('refuses a queued job before its deadline once it cannot meet it', () => {
       submitJob(scheduler, job('a', 9000), 0);
-      const waiting = job('b', 1000, { aimAtMs: 1400, deadlineAtMs: 1500 });
-      assert.deepEqual(submitJob(scheduler, waiting, 1), []);
-      submitJob(scheduler, waiting, 600);
-      submitJob(scheduler, waiting, 1190);
+      const queuedJob = job('b', 1000, { aimAtMs: 1400, deadlineAtMs: 1500 });
+      assert.deepEqual(submitJob(scheduler, queuedJob, 1), []);
+      submitJob(scheduler, queuedJob, 600);
+      submitJob(scheduler, queuedJob, 1190);
       const [decision] = tickScheduler(scheduler, 1200);
-      assert.equal(decision?.jobId, waiting.id);
+      assert.equal(decision?.jobId, queuedJob.id);
       assert.equal(decision.kind, DecisionKind.Refuse);
     });
 
-    it('gives no engine to a waiting job that has ended', () => {
+    it('removes a queued job that has ended', () => {
       submitJob(scheduler, job('a', 9000), 0);
-      const waiting = job('b', 1000, { aimAtMs: 2000 });
-      submitJob(scheduler, waiting, 1);
+      const queuedJob = job('b', 1000, { aimAtMs: 2000 });
+      submitJob(scheduler, queuedJob, 1);
       assert.equal(scheduler.waiting.size, 1);
-      const ended = { kind: JobEventKind.Ended, jobId: waiting.id, target: '' };
+      const ended = { kind: JobEventKind.Ended, jobId: queuedJob.id, target: '' };
       noteJobEvents(scheduler, [ended], 10);
       assert.equal(scheduler.waiting.size, 0);
     });
 
-    it('forgets a job whose gateway no longer asks', () => {
+    it('drops a queued job that its gateway no longer polls', () => {
       submitJob(scheduler, job('a', 9000), 0);
       submitJob(scheduler, job('b', 1000), 1);
-      assert.deepEqual(tickScheduler(scheduler, SCHEDULER_OPTIONS.forgottenAfterMs + 2), []);
+      assert.deepEqual(tickScheduler(scheduler, SCHEDULER_OPTIONS.abandonedAfterMs + 2), []);
       assert.equal(scheduler.waiting.size, 0);
     });
 
-    // Callers with long histories get nothing all day. Short ones arrive faster than the engine can
-    // read, and each of them is worth more for its time than a long one.
-    it('serves large prompts at half the rate of all at the least', () => {
+    // Short prompts arrive faster than the engine can prefill, and each is worth more per
+    // millisecond of engine time than a long one. Without a fairness rule callers with long
+    // histories are never served.
+    it('serves large prompts at no less than half the rate of all prompts', () => {
       const served = { all: 0, large: 0 };
-      const asked = { all: 0, large: 0 };
-      const open = new Map<string, { isLarge: boolean }>();
-      let readingEndsAtMs = 0;
-      let reading: { id: string; target: string } | null = null;
-      const begin = (decisions: readonly Decision[], nowMs: number): void => {
+      const submitted = { all: 0, large: 0 };
+      const openJobs = new Map<string, { isLarge: boolean }>();
+      let prefillEndsAtMs = 0;
+      let activePrefill: { id: string; target: string } | null = null;
+      const handleDecisions = (decisions: readonly Decision[], nowMs: number): void => {
         for (const decision of decisions) {
-          const known = open.get(decision.jobId);
-          open.delete(decision.jobId);
-          if (decision.kind !== DecisionKind.Run || known === undefined) continue;
+          const openJob = openJobs.get(decision.jobId);
+          openJobs.delete(decision.jobId);
+          if (decision.kind !== DecisionKind.Run || openJob === undefined) continue;
           served.all += 1;
-          if (known.isLarge) served.large += 1;
-          reading = { id: decision.jobId, target: decision.plan.readAt };
-          readingEndsAtMs = Math.max(readingEndsAtMs, nowMs) + decision.plan.predictedReadMs;
+          if (openJob.isLarge) served.large += 1;
+          activePrefill = { id: decision.jobId, target: decision.plan.readAt };
+          prefillEndsAtMs = Math.max(prefillEndsAtMs, nowMs) + decision.plan.predictedReadMs;
         }
       };
       for (let nowMs = 0; nowMs < 60_000; nowMs += 10) {
@@ -158,21 +164,24 @@
             aimAtMs: nowMs + 800,
             deadlineAtMs: nowMs + 3000,
           });
-          asked.all += 1;
-          if (isLarge) asked.large += 1;
-          open.set(next.id, { isLarge });
-          begin(submitJob(scheduler, next, nowMs), nowMs);
+          submitted.all += 1;
+          if (isLarge) submitted.large += 1;
+          openJobs.set(next.id, { isLarge });
+          handleDecisions(submitJob(scheduler, next, nowMs), nowMs);
         }
-        for (const waiting of scheduler.waiting.values()) waiting.askedAtMs = nowMs;
-        const done: { id: string; target: string } | null = reading;
-        if (done !== null && nowMs >= readingEndsAtMs) {
-          reading = null;
-          begin(read(scheduler, (done as { id: string }).id, 'reader-1', nowMs), nowMs);
+        for (const queuedJob of scheduler.waiting.values()) queuedJob.lastPolledAtMs = nowMs;
+        const finished: { id: string; target: string } | null = activePrefill;
+        if (finished !== null && nowMs >= prefillEndsAtMs) {
+          activePrefill = null;
+          handleDecisions(
+            reportPrefilled(scheduler, (finished as { id: string }).id, 'reader-1', nowMs),
+            nowMs,
+          );
         }
-        begin(tickScheduler(scheduler, nowMs), nowMs);
+        handleDecisions(tickScheduler(scheduler, nowMs), nowMs);
       }
-      assert.ok(served.all / asked.all < 0.95, 'the load is more than the engine can do');
-      const ratio = served.large / asked.large / (served.all / asked.all);
+      assert.ok(served.all / submitted.all < 0.95, 'the load exceeds the capacity of the engine');
+      const ratio = served.large / submitted.large / (served.all / submitted.all);
       assert.ok(ratio >= 0.5, `large prompts served at ${String(ratio)} of the rate of all`);
     });
   });
--- a/packages/coordination/test/core/scheduling/scheduler-placing.test.ts
+++ b/packages/coordination/test/core/scheduling/scheduler-placing.test.ts
@@ -1,4 +1,4 @@
-/** Where a scheduler has prompts read and streamed, on a virtual clock. */
+/** Tests on which engines a scheduler places prefill and decode, on a virtual clock. */
 import assert from 'node:assert/strict';
 import { beforeEach, describe, it } from 'node:test';
 import {
@@ -18,15 +18,22 @@
   suspendEngine,
   tickScheduler,
 } from '../../../src/index.js';
-import { SPEC, engine, job, planOf, read, runs } from '../../fixtures/scheduling.js';
+import {
+  SPEC,
+  engine,
+  job,
+  planOf,
+  reportPrefilled,
+  startedJobIds,
+} from '../../fixtures/scheduling.js';
 
 describe('a scheduler', () => {
   let scheduler: Scheduler;
-  const streamer = engine('streamer', EnginePhase.Decode);
+  const decodeEngine = engine('streamer', EnginePhase.Decode);
   const engines = [
     engine('reader-1', EnginePhase.Prefill),
     engine('reader-2', EnginePhase.Prefill),
-    streamer,
+    decodeEngine,
   ];
 
   beforeEach(() => {
@@ -34,59 +41,60 @@
     noteEngines(scheduler, engines, SPEC);
   });
 
-  describe('placing', () => {
-    // Nothing is read for most of a second on a day on which engines lose two answers in a hundred.
-    // One of two engines that make tokens lost one; it was left alone, each time twice as long,
-    // since nobody told the scheduler of the answers that it brought home.
-    it('goes on with an engine that lost one answer, and leaves one alone that breaks off all', () => {
-      const lost = job('a', 1000);
-      const { readAt } = planOf(submitJob(scheduler, lost, 0));
-      read(scheduler, lost.id, readAt, 300);
-      const broke = { kind: JobEventKind.Broke, jobId: lost.id, target: 'streamer' };
+  describe('placement', () => {
+    // Engines lose two answers in a hundred, and one of two decode engines lost one. It was
+    // suspended, twice as long each time, because its completed answers were not reported to the
+    // scheduler. No prompt was prefilled for most of a second.
+    it('suspends an engine after two broken answers in a row, but not after one', () => {
+      const lostJob = job('a', 1000);
+      const { readAt } = planOf(submitJob(scheduler, lostJob, 0));
+      reportPrefilled(scheduler, lostJob.id, readAt, 300);
+      const broke = { kind: JobEventKind.Broke, jobId: lostJob.id, target: 'streamer' };
       noteJobEvents(scheduler, [broke, { ...broke, kind: JobEventKind.Ended }], 310);
       const second = job('a', 1000);
       assert.equal(planOf(submitJob(scheduler, second, 320)).streamAt, 'streamer');
-      read(scheduler, second.id, readAt, 400);
+      reportPrefilled(scheduler, second.id, readAt, 400);
       const served = { kind: JobEventKind.Served, jobId: second.id, target: 'streamer' };
       noteJobEvents(scheduler, [served, broke], 500);
-      assert.equal(runs(submitJob(scheduler, job('a', 1000), 510)).length, 1);
+      assert.equal(startedJobIds(submitJob(scheduler, job('a', 1000), 510)).length, 1);
       noteJobEvents(scheduler, [broke], 520);
-      assert.equal(runs(submitJob(scheduler, job('b', 1000), 530)).length, 0);
+      assert.equal(startedJobIds(submitJob(scheduler, job('b', 1000), 530)).length, 0);
     });
 
-    // An engine is back from a crash for a moment and takes down all that waited for it. After a
-    // failure it gets one request, and the rest once that one is served.
-    it('tries an engine that failed with one request at a time', () => {
+    // After a failure an engine gets one request, and the rest only once that one is served.
+    // Otherwise an engine that is up only briefly after a crash fails all the requests that waited
+    // for it.
+    it('sends a half-open engine one request at a time', () => {
       const failed = { kind: JobEventKind.Failed, jobId: 'x', target: 'streamer' };
       noteJobEvents(scheduler, [failed], 0);
-      const trial = job('a', 1000);
-      submitJob(scheduler, trial, 0);
+      const trialJob = job('a', 1000);
+      submitJob(scheduler, trialJob, 0);
       const { readAt } = planOf(tickScheduler(scheduler, 510));
-      read(scheduler, trial.id, readAt, 700);
-      assert.deepEqual(runs(submitJob(scheduler, job('b', 1000), 710)), []);
-      const served = { kind: JobEventKind.Served, jobId: trial.id, target: 'streamer' };
-      assert.equal(runs(noteJobEvents(scheduler, [served], 750)).length, 1);
+      reportPrefilled(scheduler, trialJob.id, readAt, 700);
+      assert.deepEqual(startedJobIds(submitJob(scheduler, job('b', 1000), 710)), []);
+      const served = { kind: JobEventKind.Served, jobId: trialJob.id, target: 'streamer' };
+      assert.equal(startedJobIds(noteJobEvents(scheduler, [served], 750)).length, 1);
     });
 
-    it('has a prompt read by one engine and streamed by another', () => {
+    it('prefills a prompt on one engine and decodes it on another', () => {
       const plan = planOf(submitJob(scheduler, job('a', 1000), 0));
       assert.match(plan.readAt, /^reader/);
       assert.equal(plan.streamAt, 'streamer');
       assert.equal(plan.missingTokens, 11_000);
     });
 
-    it('sends prompts that begin alike to the engine that holds their beginning', () => {
+    it('sends prompts with a shared prefix to the engine that has it cached', () => {
       const first = job('a', 1000);
       const { readAt } = planOf(submitJob(scheduler, first, 0));
-      read(scheduler, first.id, readAt, 400);
+      reportPrefilled(scheduler, first.id, readAt, 400);
       const plan = planOf(submitJob(scheduler, job('a', 1000), 500));
       assert.equal(plan.readAt, readAt);
       assert.equal(plan.missingTokens, 1000);
     });
 
-    // Readers of one history ask for it at once. Each is given to another engine, and all of them
-    // read the same thirteen thousand tokens beside each other.
-    it('lets readers of one part wait for the engine that reads it', () => {
+    // Several requests for the same history arrive at once. If each is given to another engine, all
+    // engines prefill the same thirteen thousand tokens concurrently.
+    it('does not prefill a shared part on two engines at the same time', () => {
       const { readAt } = planOf(submitJob(scheduler, job('a', 1000), 0));
       const second = job('a', 1000);
       const decisions = submitJob(scheduler, second, 5);
@@ -94,10 +102,10 @@
       assert.ok(plan === null || plan.readAt === readAt || plan.fetchFrom === readAt);
     });
 
-    it('fetches parts from a busy engine that holds them', () => {
+    it('fetches cached parts from a busy engine', () => {
       const first = job('a', 1000);
       const { readAt } = planOf(submitJob(scheduler, first, 0));
-      read(scheduler, first.id, readAt, 328);
+      reportPrefilled(scheduler, first.id, readAt, 328);
       const second = planOf(submitJob(scheduler, job('a', 20_000, { aimAtMs: 2000 }), 410));
       assert.equal(second.readAt, readAt);
       const plan = planOf(submitJob(scheduler, job('a', 1000), 420));
@@ -106,23 +114,23 @@
       assert.equal(plan.missingTokens, 1000);
     });
 
-    // Streams of all callers pause for a second. The engine that makes their tokens was given a cold
-    // prompt of twenty thousand tokens, since it had the shortest line.
-    it('gives no long prompt to an engine that makes tokens while others read', () => {
-      const patient = { aimAtMs: 2000 };
-      submitJob(scheduler, job('a', 9000, patient), 0);
-      submitJob(scheduler, job('b', 9000, patient), 0);
-      assert.deepEqual(submitJob(scheduler, job('c', 9000, patient), 0), []);
+    // A decode engine with the shortest queue was given a cold prompt of twenty thousand tokens,
+    // and the streams of all its callers paused for a second.
+    it('gives no long prompt to a decode engine while prefill engines are available', () => {
+      const relaxedGoal = { aimAtMs: 2000 };
+      submitJob(scheduler, job('a', 9000, relaxedGoal), 0);
+      submitJob(scheduler, job('b', 9000, relaxedGoal), 0);
+      assert.deepEqual(submitJob(scheduler, job('c', 9000, relaxedGoal), 0), []);
     });
 
-    it('has it read there all the same when nobody else can', () => {
+    it('prefills a long prompt on a decode engine when there is no other engine', () => {
       noteEngines(scheduler, [engine('streamer', EnginePhase.Decode)], SPEC);
       const plan = planOf(submitJob(scheduler, job('a', 1000), 0));
       assert.equal(plan.readAt, 'streamer');
       assert.equal(plan.streamAt, null);
     });
 
-    it('leaves alone an engine that failed, and tries it again later', () => {
+    it('places no job on an engine that has just failed', () => {
       const first = job('a', 1000);
       const { readAt } = planOf(submitJob(scheduler, first, 0));
       const failed = { kind: JobEventKind.Failed, jobId: first.id, target: readAt };
@@ -131,7 +139,7 @@
       assert.notEqual(other, readAt);
     });
 
-    it('gives nothing to an engine that changes its phase', () => {
+    it('gives no work to engines that are changing phase', () => {
       suspendEngine(scheduler, 'reader-1', 6000);
       suspendEngine(scheduler, 'reader-2', 6000);
       suspendEngine(scheduler, 'streamer', 6000);
@@ -141,44 +149,44 @@
     });
   });
 
-  // An engine crashes and is back under its name a second later. It is sent prompts that it is taken
-  // to hold in part, reads them whole, and is left alone for what its earlier start has failed.
-  describe('an engine that starts again under its name', () => {
+  // An engine crashes and restarts under the same name a second later. It must not be sent prompts
+  // that it is assumed to have cached, nor be suspended for failures of its earlier incarnation.
+  describe('an engine that restarts under the same name', () => {
     const before = engine('solo', EnginePhase.Both);
-    const again: TargetEntry = { ...before, id: 'solo@2000', bornAtMs: 2000 };
+    const restarted: TargetEntry = { ...before, id: 'solo@2000', bornAtMs: 2000 };
 
-    it('holds nothing of what its earlier start had read', () => {
+    it('has an empty cache', () => {
       noteEngines(scheduler, [before], SPEC);
       const first = job('a', 1000);
       submitJob(scheduler, first, 0);
-      read(scheduler, first.id, before.id, 400);
-      noteEngines(scheduler, [again], SPEC);
+      reportPrefilled(scheduler, first.id, before.id, 400);
+      noteEngines(scheduler, [restarted], SPEC);
       const plan = planOf(submitJob(scheduler, job('a', 1000), 500));
-      assert.equal(plan.readAt, again.id);
+      assert.equal(plan.readAt, restarted.id);
       assert.equal(plan.missingTokens, 11_000);
     });
 
-    it('is not left alone for what is reported of its earlier start', () => {
-      noteEngines(scheduler, [again], SPEC);
+    it('is not suspended for failures of its earlier incarnation', () => {
+      noteEngines(scheduler, [restarted], SPEC);
       const failed = { kind: JobEventKind.Failed, jobId: 'x', target: before.id };
       noteJobEvents(scheduler, [failed, failed], 0);
-      assert.equal(planOf(submitJob(scheduler, job('a', 1000), 10)).readAt, again.id);
+      assert.equal(planOf(submitJob(scheduler, job('a', 1000), 10)).readAt, restarted.id);
     });
   });
 
-  describe('asked twice about a job', () => {
-    it('gives the same answer, and the engine no second prompt', () => {
-      const asked = job('a', 1000);
-      const first = submitJob(scheduler, asked, 0);
-      assert.deepEqual(submitJob(scheduler, asked, 100), first);
-      assert.equal(scheduler.targets.get(planOf(first).readAt)?.reading.size, 1);
+  describe('a repeated request for a job', () => {
+    it('gets the same decision and starts no second prefill', () => {
+      const repeated = job('a', 1000);
+      const first = submitJob(scheduler, repeated, 0);
+      assert.deepEqual(submitJob(scheduler, repeated, 100), first);
+      assert.equal(scheduler.targets.get(planOf(first).readAt)?.prefills.size, 1);
     });
   });
 
-  describe('a process that begins to schedule', () => {
-    // All shared parts of the day are read again, by every engine. Another gateway scheduled before,
-    // and the new one takes all caches for empty.
-    it('asks engines for their caches, and uses what they hold', () => {
+  describe('a new scheduler', () => {
+    // After a change of scheduler the new process assumed that all caches were empty, and every
+    // engine prefilled all shared parts again.
+    it('requests the cache contents of engines and uses them', () => {
       assert.equal(enginesToList(scheduler, 0).length, 3);
       assert.deepEqual(enginesToList(scheduler, 100), []);
       seedCache(scheduler, 'reader-2', [{ id: 'a', tokens: 10_000 }]);
@@ -186,7 +194,7 @@
       assert.equal(plan.missingTokens, 1000);
     });
 
-    it('asks again after others have scheduled for a while', () => {
+    it('requests cache contents again after a period without requests', () => {
       enginesToList(scheduler, 0);
       assert.equal(enginesToList(scheduler, SCHEDULER_OPTIONS.staleAfterMs + 1).length, 3);
     });
