--- a/packages/coordination/src/core/scheduling/options.ts
+++ b/packages/coordination/src/core/scheduling/options.ts
@@ -30,8 +30,9 @@
    */
   readonly maxDecodePrefillTokens: number;
   /**
-   * Maximum predicted service time of the late jobs in the queue of an engine. With zero, a job that would be late is refused immediately unless its engine is idle. Queued late jobs
-   * were served late or refused after a wait, and delayed the jobs behind them.
+   * Maximum predicted service time of the late jobs in the queue of an engine. With zero, a job
+   * that would be late is refused immediately unless its engine is idle. Queued late jobs were
+   * served late or refused after a wait, and delayed the jobs behind them.
    */
   readonly maxLateBacklogMs: number;
   /**
