--- a/packages/daemon/src/gateway/counted-fleet.ts
+++ b/packages/daemon/src/gateway/counted-fleet.ts
@@ -1,12 +1,12 @@
 /**
- * Counts this gateway's calls to the platform's store, by kind: the store answers for all gateways
- * together, and each call has a price, so an operator must see which calls grow with the fleet.
+ * Counts this gateway's calls to the platform's store by kind. The store serves all gateways and
+ * each call has a cost, so operators must be able to see which calls grow with the fleet.
  */
 import type { Failure } from '@cassiamast/coordination';
 import type { FleetPort } from '@cassiamast/ports';
 import type { ResultAsync } from 'neverthrow';
 
-/** Kinds of call as the counters name them. */
+/** Kinds of store call, as they appear in the names of the counters. */
 export enum StoreCall {
   List = 'list',
   Changes = 'changes',
@@ -17,7 +17,7 @@
   EndLease = 'end_lease',
 }
 
-/** The same store, with its calls and their failures counted. */
+/** Wraps the store's port in one that counts each call and each failure. */
 export function countCalls(fleet: FleetPort, count: (name: string) => void): FleetPort {
   function counted<Answer>(
     call: StoreCall,
--- a/packages/daemon/src/gateway/crash-reports.ts
+++ b/packages/daemon/src/gateway/crash-reports.ts
@@ -1,6 +1,6 @@
 /**
- * Tells all gateways, through the platform's store, of requests during which targets broke off, and
- * knows which requests are therefore run no more.
+ * Reports requests during which a target's connection broke to all gateways, through the platform's
+ * store, and determines which requests must not run again because they probably crash targets.
  */
 import { createHash } from 'node:crypto';
 import {
@@ -17,25 +17,26 @@
 import type { TargetPulse } from './target-pulse.js';
 
 /**
- * A crash counts for so long: several times what a caller waits. Where all gateways lose their memory
- * at once, none knows what ran whole before, so it is no longer than callers can bear.
+ * How long a crash counts: several times as long as a caller waits. When all gateways restart at
+ * once, the record of completed requests is lost, so callers must be able to tolerate a wrong
+ * refusal for this long.
  */
 export const CRASH_MEMORY_MS = 30_000;
-/** A lease is used for new notes until half of its time is over. */
+/** A lease is reused for new notes during the first half of its time to live. */
 const LEASE_USE_MS = CRASH_MEMORY_MS / 2;
 /**
- * A target that broke off is listened to for so long: one that answers anybody meanwhile has not
- * crashed, it lost an answer. Notes gather in that time as well, since each write is paid for.
+ * Delay between a broken connection and its report. A target that sends anything in this time has
+ * not crashed; it only lost an answer. The delay also batches notes, since each write has a cost.
  */
-const CONFIRM_MS = 1000;
-/** Entries that one write takes at the most. */
+const CONFIRM_DELAY_MS = 1000;
+/** Maximum number of entries in one write. */
 const MAX_NOTES_PER_WRITE = 32;
-/** Notes that wait while the store is away; a crash of a full engine brings some sixty. */
-const MAX_WAITING_NOTES = 256;
-/** Hexadecimal digits of a content's hash: no two of a day's requests share so many. */
-const CONTENT_DIGITS = 24;
+/** Notes held while the store is unreachable; the crash of a full engine produces about sixty. */
+const MAX_PENDING_NOTES = 256;
+/** Digits kept of a content's hex hash, enough that no two requests of a day collide. */
+const CONTENT_HASH_DIGITS = 24;
 
-/** What the reports need. */
+/** Dependencies of the crash reports. */
 export interface CrashReportsOptions {
   readonly fleet: FleetPort;
   readonly view: FleetView;
@@ -45,18 +46,18 @@
   readonly count: (name: string) => void;
 }
 
-/** Crashes as this gateway tells and knows them. */
+/** Records crashes, shares them with other gateways and answers which requests they rule out. */
 export interface CrashReports {
-  /** A target's connection broke while it may have run the request. */
+  /** Records that a target's connection broke while it may have been running the request. */
   readonly noteCrash: (exchange: Exchange, target: string) => void;
-  /** A target ran the request whole. */
+  /** Records that a target ran the request to completion. */
   readonly noteWhole: (exchange: Exchange) => void;
-  /** Whether the request is run no more. */
+  /** Whether the request must not run again. */
   readonly isConvicted: (exchange: Exchange) => boolean;
   readonly stop: () => void;
 }
 
-/** Draws from the end of one sending what it says about crashes. */
+/** Records a crash or a completed run from the outcome of one attempt, if it shows either. */
 export function noteForCrashes(
   exchange: Exchange,
   { crashes }: { readonly crashes: CrashReports },
@@ -67,16 +68,16 @@
   else if (outcome.kind === AskOutcomeKind.Complete) crashes.noteWhole(exchange);
 }
 
-/** A target that broke off, and when. */
+/** A possible crash and the time at which the connection broke. */
 interface Suspicion {
   readonly note: CrashNote;
   readonly atMs: number;
 }
 
-/** Makes the reports. */
+/** Creates the crash reports. */
 export function createCrashReports(options: CrashReportsOptions): CrashReports {
   const { fleet, view, pulse, nowMs, log, count } = options;
-  let waiting: Suspicion[] = [];
+  let suspicions: Suspicion[] = [];
   let timer: NodeJS.Timeout | null = null;
   let lease: { readonly id: string; readonly grantedAtMs: number } | null = null;
 
@@ -89,29 +90,33 @@
     return lease.id;
   }
 
-  /** Takes the suspicions that are old enough; gives those that nothing speaks against. */
+  /**
+   * Removes the suspicions that are old enough from the queue. Returns the notes of those whose
+   * target has sent nothing since.
+   */
   function takeConfirmed(): readonly CrashNote[] {
     const now = nowMs();
     const notes: CrashNote[] = [];
     while (notes.length < MAX_NOTES_PER_WRITE) {
-      const [oldest] = waiting;
-      if (oldest === undefined || now - oldest.atMs < CONFIRM_MS) break;
-      waiting.shift();
+      const [oldest] = suspicions;
+      if (oldest === undefined || now - oldest.atMs < CONFIRM_DELAY_MS) break;
+      suspicions.shift();
       const { note, atMs } = oldest;
       if (pulse.isSilent(note.target, now - atMs)) notes.push(note);
     }
     return notes;
   }
 
-  async function write(): Promise<void> {
+  async function writeConfirmedNotes(): Promise<void> {
     timer = null;
     const notes = takeConfirmed();
-    if (waiting.length > 0) schedule();
+    if (suspicions.length > 0) scheduleWrite();
     if (notes.length === 0) return;
     for (const note of notes) rememberCrash(view.crashes, note);
     const id = await leaseId();
     const written = id === null ? null : await fleet.recordCrashes(notes, id);
-    // Own knowledge stands; that the others do not hear of it costs at most some crashes more.
+    // The local record remains. Other gateways miss the note, which costs a few more crashes at
+    // most.
     if (written === null || written.isErr()) {
       const cause = written?.isErr() === true ? written.error.message : 'no lease';
       count('crash_notes_lost_total');
@@ -120,48 +125,51 @@
   }
 
   /**
-   * Guards against a content that one gateway has seen run whole and another one still refuses: it
-   * shows as callers who are served or refused by the gateway that they reach.
+   * Deletes the notes about a content that has run to completion. Otherwise other gateways would
+   * keep refusing it, and the answer to a caller would depend on the gateway it reached.
    */
-  async function acquit(notes: readonly CrashNote[]): Promise<void> {
+  async function forgetNotes(notes: readonly CrashNote[]): Promise<void> {
     const forgotten = await fleet.forgetCrashes(notes);
-    // They lapse by themselves a little later.
+    // The notes expire with their lease a little later.
     if (forgotten.isErr()) {
       log.warn('crashes not taken back', { cause: forgotten.error.message });
     }
   }
 
-  function schedule(): void {
-    timer ??= setTimeout(() => void write(), CONFIRM_MS);
+  function scheduleWrite(): void {
+    timer ??= setTimeout(() => void writeConfirmedNotes(), CONFIRM_DELAY_MS);
   }
 
   return {
     noteCrash: (exchange, target) => {
       const note = { content: contentOf(exchange), target };
       count('crashes_noted_total');
-      if (waiting.length >= MAX_WAITING_NOTES) {
+      if (suspicions.length >= MAX_PENDING_NOTES) {
         count('crash_notes_lost_total');
         return;
       }
-      waiting.push({ note, atMs: nowMs() });
-      schedule();
+      suspicions.push({ note, atMs: nowMs() });
+      scheduleWrite();
     },
     noteWhole: (exchange) => {
       const notes = clearContent(view.crashes, contentOf(exchange));
-      if (notes.length > 0) void acquit(notes);
+      if (notes.length > 0) void forgetNotes(notes);
     },
     isConvicted: (exchange) =>
       view.crashes.targetsByContent.size > 0 &&
       isConvictedContent(view.crashes, contentOf(exchange)),
     stop: () => {
       if (timer !== null) clearTimeout(timer);
-      waiting = [];
+      suspicions = [];
     },
   };
 }
 
-/** What a request is, and whose: many callers may send the same without harm. */
+/**
+ * Returns a hash that identifies a request's content. It covers the caller, so one caller's crashes
+ * don't affect others that send the same request.
+ */
 function contentOf({ caller, method, path, body }: Exchange): string {
   const hash = createHash('sha256').update(`${caller}\n${method}\n${path}\n`);
-  return hash.update(body).digest('hex').slice(0, CONTENT_DIGITS);
+  return hash.update(body).digest('hex').slice(0, CONTENT_HASH_DIGITS);
 }
--- a/packages/daemon/src/gateway/fleet-follower.ts
+++ b/packages/daemon/src/gateway/fleet-follower.ts
@@ -1,9 +1,9 @@
 /**
- * Follows the fleet in the platform's store: one listing, then the changes after it, through
- * outages, dropped history and a store that turns this VM away. Whatever it last knew stays in
- * force meanwhile.
+ * Follows the fleet in the platform's store: it reads one listing and then the changes after it. It
+ * continues through outages, compacted watch history and a store that rejects this VM; the last
+ * known state of the fleet remains in use meanwhile.
  */
-import { setImmediate as turnLoop, setTimeout as sleep } from 'node:timers/promises';
+import { setImmediate as nextLoopTurn, setTimeout as sleep } from 'node:timers/promises';
 import {
   type Failure,
   type FleetChange,
@@ -30,16 +30,16 @@
 import type { Child } from '../supervisor/supervisor.js';
 import type { GatewayLog } from './gateway-log.js';
 
-/** Longest wait of one question for changes: short, so that a silent connection is noticed. */
+/** Longest wait of one call for changes; short, to detect a connection that no longer answers. */
 const WATCH_WAIT_MS = 1500;
-/** A question that is not answered so long after it could be is asked anew. */
-const PATIENCE_MS = 1000;
-/** A listing is a page or more. */
-const LISTING_PATIENCE_MS = 1500;
-/** Entries of other writers that are remembered as logged; more of them are logged again. */
+/** Time that a call for changes may exceed its wait before another call is made. */
+const ANSWER_MARGIN_MS = 1000;
+/** Time limit of a listing, which takes one or more pages. */
+const LISTING_TIMEOUT_MS = 1500;
+/** Maximum number of invalid entries remembered as logged; beyond it, entries are logged again. */
 const MAX_LOGGED_FAULTS = 256;
 
-/** What the follower needs. */
+/** Dependencies of the follower. */
 export interface FleetFollowerOptions {
   readonly fleet: FleetPort;
   readonly view: FleetView;
@@ -49,46 +49,46 @@
   readonly log: GatewayLog;
   readonly count: (name: string) => void;
   /**
-   * Waited for before the first listing. Guards against gateways that start together and each see
-   * the others' announcements of before: it shows as several schedulers for the same engines.
+   * Awaited before the first listing. Without it, gateways that start together would see each
+   * other's announcements from before the restart, and several would schedule the same engines.
    */
   readonly beforeFirstListing: () => Promise<unknown>;
   readonly onChanged: () => void;
 }
 
-/** A question to the store whose answer may come after it was asked anew. */
-interface Question {
+/** A call to the store whose answer may arrive after its timeout, when another call was made. */
+interface PendingRead {
   readonly isListing: boolean;
-  /** The revision that was known when it was asked. */
+  /** The revision that was known when the call was made. */
   readonly afterRevision: number;
-  readonly patienceMs: number;
+  readonly timeoutMs: number;
   readonly reading: PromiseLike<Result<FleetReading, Failure>>;
 }
 
-/** Makes the follower. */
+/** Creates the follower. */
 export function createFleetFollower(options: FleetFollowerOptions): Child {
   const { fleet, view, nowMs, log, random } = options;
   const pace = createNewsPace(options.pace);
   let stopped = true;
-  let isAway = false;
+  let isStoreLost = false;
   let needsListing = true;
-  /** Ends the wait for the answer to the question under way. */
-  let askAnew: () => void = () => undefined;
+  /** Ends the wait for the answer to the pending call. */
+  let interruptWait: () => void = () => undefined;
   const loggedFaults = new Set<string>();
 
-  function noteAway(cause: string): void {
-    if (!isAway) log.warn('store lost', { cause, revision: view.revision });
-    isAway = true;
+  function noteStoreLost(cause: string): void {
+    if (!isStoreLost) log.warn('store lost', { cause, revision: view.revision });
+    isStoreLost = true;
   }
 
-  function noteBack(): void {
+  function noteStoreRegained(): void {
     noteStoreAnswer(view, nowMs());
-    if (isAway) log.info('store regained', { revision: view.revision });
-    isAway = false;
+    if (isStoreLost) log.info('store regained', { revision: view.revision });
+    isStoreLost = false;
   }
 
-  /** Such an entry may be written again with each heartbeat of its writer: logged once. */
-  function noteFault({ key }: EntryFault): void {
+  /** Logs an invalid entry once, since its writer may write it again with each heartbeat. */
+  function recordFault({ key }: EntryFault): void {
     options.count('fleet_entries_ignored_total');
     if (loggedFaults.has(key)) return;
     if (loggedFaults.size >= MAX_LOGGED_FAULTS) loggedFaults.clear();
@@ -96,7 +96,7 @@
     log.warn('entry ignored', { key, reason: 'fields missing, of another type, or not readable' });
   }
 
-  function noteNewStart(change: FleetChange): void {
+  function logTargetRestart(change: FleetChange): void {
     if (change.kind !== FleetChangeKind.Target) return;
     const { id, name } = change.target;
     const before = view.idsByName.get(name);
@@ -104,11 +104,11 @@
     log.info('target started again', { target: id, before, revision: change.revision });
   }
 
-  function take({ changes, faults, revision }: FleetReading, isListing: boolean): void {
-    noteBack();
-    for (const fault of faults) noteFault(fault);
+  function applyReading({ changes, faults, revision }: FleetReading, isListing: boolean): void {
+    noteStoreRegained();
+    for (const fault of faults) recordFault(fault);
     const versionBefore = view.table?.configuration.version ?? 0;
-    for (const change of changes) noteNewStart(change);
+    for (const change of changes) logTargetRestart(change);
     if (isListing) applyListing(view, changes, revision, nowMs());
     else applyChanges(view, changes, revision, nowMs());
     if (isListing) needsListing = false;
@@ -117,72 +117,75 @@
     options.onChanged();
   }
 
-  function ask(): Question {
+  function startRead(): PendingRead {
     const afterRevision = view.revision;
     return needsListing
-      ? { isListing: true, afterRevision, patienceMs: LISTING_PATIENCE_MS, reading: fleet.list() }
+      ? { isListing: true, afterRevision, timeoutMs: LISTING_TIMEOUT_MS, reading: fleet.list() }
       : {
           isListing: false,
           afterRevision,
-          patienceMs: WATCH_WAIT_MS + PATIENCE_MS,
+          timeoutMs: WATCH_WAIT_MS + ANSWER_MARGIN_MS,
           reading: fleet.changesAfter(afterRevision, WATCH_WAIT_MS),
         };
   }
 
   /**
-   * Takes an answer that comes after its question was asked anew. Guards against a store that answers
-   * each question later than a gateway waits: it shows as gateways that start and never serve, and
-   * feed the store's load with listings that are all thrown away. An answer that is older than what
-   * has come since is of no use.
+   * Applies an answer that arrives after its timeout, unless it is older than the current view. If
+   * late answers were discarded, gateways would never start to serve while the store answers each
+   * call later than they wait, and their repeated listings would add to the store's load.
    */
-  async function takeLate({ isListing, afterRevision, reading }: Question): Promise<void> {
+  async function applyLateReading({
+    isListing,
+    afterRevision,
+    reading,
+  }: PendingRead): Promise<void> {
     const late = await reading;
     if (stopped) return;
     if (late.isErr()) {
-      const isNews = !needsListing && afterRevision === view.revision;
-      if (isNews && noteIfHistoryGone(late.error)) askAnew();
+      const isCurrent = !needsListing && afterRevision === view.revision;
+      if (isCurrent && relistIfHistoryGone(late.error)) interruptWait();
       return;
     }
     if (late.value.revision < view.revision) return;
     options.count('store_late_answers_total');
-    take(late.value, isListing);
+    applyReading(late.value, isListing);
   }
 
-  /** What is missing then can only be listed. */
-  function noteIfHistoryGone(failure: Failure): boolean {
+  /** Requests a new listing if the store no longer has the changes after the known revision. */
+  function relistIfHistoryGone(failure: Failure): boolean {
     if (!FLEET_HISTORY_GONE.is(failure)) return false;
     log.warn('fleet listed anew', { cause: failure.message, revision: view.revision });
     needsListing = true;
     return true;
   }
 
-  /** Asks once; gives the pause before the next question. */
-  async function askOnce(): Promise<number> {
-    const question = ask();
-    const wokenEarly = withResolvers<null>();
-    askAnew = () => {
-      wokenEarly.resolve(null);
+  /** Makes one call and applies its answer. Returns the pause before the next call, in ms. */
+  async function readOnce(): Promise<number> {
+    const read = startRead();
+    const interrupted = withResolvers<null>();
+    interruptWait = () => {
+      interrupted.resolve(null);
     };
-    const inTime = within(question.reading, question.patienceMs);
-    const answer = await Promise.race([inTime, wokenEarly.promise]);
-    if (answer === null && needsListing && !question.isListing) return 0;
+    const inTime = withTimeout(read.reading, read.timeoutMs);
+    const answer = await Promise.race([inTime, interrupted.promise]);
+    if (answer === null && needsListing && !read.isListing) return 0;
     if (answer === null) {
-      noteAway(`no answer within ${String(question.patienceMs)} ms`);
-      void takeLate(question);
+      noteStoreLost(`no answer within ${String(read.timeoutMs)} ms`);
+      void applyLateReading(read);
       return pauseAfterFailureMs(pace, random);
     }
     if (answer.isErr()) {
-      if (noteIfHistoryGone(answer.error)) return 0;
-      noteAway(answer.error.message);
+      if (relistIfHistoryGone(answer.error)) return 0;
+      noteStoreLost(answer.error.message);
       return pauseAfterFailureMs(pace, random);
     }
-    take(answer.value, question.isListing);
+    applyReading(answer.value, read.isListing);
     const pauseMs = pauseAfterNewsMs(pace, nowMs());
-    return question.isListing ? 0 : pauseMs;
+    return read.isListing ? 0 : pauseMs;
   }
 
-  async function turn(): Promise<void> {
-    const pauseMs = await askOnce();
+  async function poll(): Promise<void> {
+    const pauseMs = await readOnce();
     settleDoubts(view, nowMs());
     await sleep(pauseMs);
   }
@@ -193,7 +196,7 @@
       stopped = false;
       void (async () => {
         await options.beforeFirstListing();
-        while (!stopped) await turn();
+        while (!stopped) await poll();
       })();
       return Promise.resolve();
     },
@@ -204,14 +207,17 @@
   };
 }
 
-/** The answer, or null where it does not come in time; what has come in by then is read first. */
-async function within<Answer>(
+/**
+ * Resolves with the answer, or with null after the timeout. The timeout takes effect one event loop
+ * turn late, so an answer that has already been received is still processed.
+ */
+async function withTimeout<Answer>(
   answer: PromiseLike<Answer>,
   timeoutMs: number,
 ): Promise<Answer | null> {
   const timer = new AbortController();
   const over = sleep(timeoutMs, null, { signal: timer.signal }).then(
-    () => turnLoop(null),
+    () => nextLoopTurn(null),
     () => null,
   );
   const first = await Promise.race([answer, over]);
--- a/packages/daemon/src/gateway/phase-planner.ts
+++ b/packages/daemon/src/gateway/phase-planner.ts
@@ -1,8 +1,8 @@
 /**
- * Keeps the split of engines between reading prompts and making tokens. One gateway gives orders to
- * the engines of a service: the one that schedules it, while it holds the service's lease. It says
- * nothing while it is unsure: without a fresh lease, without fresh news of the fleet, or while the
- * answer to an earlier order to the same engine may still be on its way.
+ * Maintains the split of a service's engines between prefill and decode. Only the gateway that
+ * schedules the service and holds its planner lease sends orders to the engines. It sends none
+ * without a fresh lease, without a recent view of the fleet, or while an earlier order to the same
+ * engine may still be pending.
  */
 import {
   type EnginePhase,
@@ -26,26 +26,33 @@
 import type { SchedulingService } from './scheduling-service.js';
 
 const TICK_MS = 250;
-/** The fleet must have been confirmed so lately: two questions for changes. */
-const MAX_NEWS_AGE_MS = 4000;
-/** No calls for so long: engines can be changed without anybody waiting for them. */
-const IDLE_MS = 1500;
-/** An order and the change it starts take some seconds; until then its engine is left alone. */
-const CHANGE_MS = 6000;
-/** An order without an answer may be carried out so much later. */
-const UNANSWERED_MS = 13_000;
-/** Where the split is wrong for a moment only, it comes right by itself: a target restarts. */
-const WRONG_FOR_MS = 2500;
-/** Engines that name rate limits say so themselves, and callers are refused meanwhile. */
-const SHORT_FOR_MS = 500;
-/** Times that the peak of streams is remembered: one burst and the lull after it. */
-const PEAK_MEMORY_MS = 10_000;
+/** Maximum age of the fleet view for sending orders: the time of two calls for changes. */
+const MAX_VIEW_AGE_MS = 4000;
+/** A service without requests for this long is idle: changing its engines delays no request. */
+const IDLE_AFTER_MS = 1500;
+/**
+ * An order and the change it starts take some seconds; the engine gets no other order until then.
+ */
+const PHASE_CHANGE_MS = 6000;
+/** An order that was not answered may still be executed within this time. */
+const UNANSWERED_ORDER_MS = 13_000;
+/**
+ * How long the split must be wrong before it is changed; the restart of a target corrects itself.
+ */
+const WRONG_SPLIT_DELAY_MS = 2500;
+/**
+ * The same delay where engines are short because of rate limits. It is shorter because engines
+ * report the limits themselves and callers are refused meanwhile.
+ */
+const RATE_LIMITED_DELAY_MS = 500;
+/** How long the peak number of streams counts: one burst and the quiet time after it. */
+const PEAK_WINDOW_MS = 10_000;
 
 /**
- * The lease of a service's planner. A holder stops two seconds after its last renewal; its
- * successor gives no order until six seconds after it took the key. So even where the key was taken
- * away unseen, some four seconds lie between the last order of one and the first of the other, and
- * no engine ever sees two holders by turns.
+ * The lease of a service's planner. A holder sends no orders later than two seconds after its last
+ * renewal, and its successor sends none until six seconds after acquiring the key. Even if the
+ * holder does not notice that it lost the key, about four seconds separate its last order from the
+ * first order of its successor, so no engine receives orders from two holders alternately.
  */
 const PLANNER_LEASE: LeaseOptions = {
   ttlMs: 4000,
@@ -56,7 +63,7 @@
   guards: { fencesItself: true, waitsOut: true },
 };
 
-/** What the planner needs. */
+/** Dependencies of the planner. */
 export interface PhasePlannerOptions {
   readonly selfId: string;
   readonly view: FleetView;
@@ -64,26 +71,26 @@
   readonly control: EngineControlPort;
   readonly schedulers: SchedulingService;
   readonly random: Random;
-  /** Counts suspended time as well. */
+  /** A clock that includes the time during which the VM is suspended. */
   readonly elapsedMs: () => number;
   readonly nowMs: () => number;
   readonly isScheduler: (service: string) => boolean;
-  /** Whether an engine names a rate limit that is used up. */
+  /** Whether an engine has announced a rate limit that is used up. */
   readonly isLimited: (target: string) => boolean;
   readonly log: GatewayLog;
   readonly count: (name: string) => void;
 }
 
-/** Makes the planner of all services. */
+/** Creates the planner for all services. */
 export function createPhasePlanner(options: PhasePlannerOptions): Child {
   const services = new Map<string, ServicePhases>();
 
   function tick(): void {
     for (const spec of options.view.table?.servicesByName.values() ?? []) {
       if (spec.engine === null) continue;
-      const known = services.get(spec.name) ?? createServicePhases(spec.name, options);
-      services.set(spec.name, known);
-      known.tick();
+      const phases = services.get(spec.name) ?? createServicePhases(spec.name, options);
+      services.set(spec.name, phases);
+      phases.tick();
     }
   }
 
@@ -97,7 +104,7 @@
   };
 }
 
-/** The phases of one service. */
+/** Plans the engine phases of one service. */
 interface ServicePhases {
   readonly tick: () => void;
   readonly giveUp: () => void;
@@ -106,8 +113,8 @@
 function createServicePhases(service: string, options: PhasePlannerOptions): ServicePhases {
   const { view, control, schedulers, log, nowMs, elapsedMs } = options;
   const changingUntilMs = new Map<string, number>();
-  let busyAtMs = nowMs();
-  let rightAtMs = nowMs();
+  let lastBusyAtMs = nowMs();
+  let lastCorrectAtMs = nowMs();
   let peak = { streams: 0, atMs: nowMs() };
   const lease: LeaseDriver = createLeaseDriver({
     selfId: options.selfId,
@@ -117,7 +124,7 @@
     keyValue: options.store,
     telemetry: { count: options.count },
     leaseOptions: PLANNER_LEASE,
-    isCandidate: () => options.isScheduler(service) && hasFreshNews(),
+    isCandidate: () => options.isScheduler(service) && hasFreshView(),
     onGained: (fence) => {
       log.info('planner lease gained', { service, fence });
     },
@@ -126,12 +133,12 @@
     },
   });
 
-  function hasFreshNews(): boolean {
-    return view.table !== null && nowMs() - view.confirmedAtMs <= MAX_NEWS_AGE_MS;
+  function hasFreshView(): boolean {
+    return view.table !== null && nowMs() - view.confirmedAtMs <= MAX_VIEW_AGE_MS;
   }
 
   function mayOrder(): boolean {
-    return lease.mayOrder() && hasFreshNews();
+    return lease.mayOrder() && hasFreshView();
   }
 
   function engines(): readonly PhaseEngine[] {
@@ -154,8 +161,8 @@
 
   function noteLoad(requests: number): void {
     const now = nowMs();
-    if (requests > 0) busyAtMs = now;
-    if (requests >= peak.streams || now - peak.atMs > PEAK_MEMORY_MS) {
+    if (requests > 0) lastBusyAtMs = now;
+    if (requests >= peak.streams || now - peak.atMs > PEAK_WINDOW_MS) {
       peak = { streams: requests, atMs: now };
     }
   }
@@ -164,37 +171,41 @@
     lease.tick();
     const now = nowMs();
     for (const [id, untilMs] of changingUntilMs) if (untilMs <= now) changingUntilMs.delete(id);
-    const known = engines();
-    noteLoad(known.reduce((sum, engine) => sum + engine.requests, 0));
-    const isIdle = now - busyAtMs > IDLE_MS;
-    const wanted = choosePhaseOrders(known, peak.streams, isIdle, PHASE_SPLIT_OPTIONS);
-    if (wanted.length === 0) rightAtMs = now;
-    const waitMs = isShortByLimits(known) ? SHORT_FOR_MS : WRONG_FOR_MS;
-    if (now - rightAtMs < waitMs || !mayOrder()) return;
-    for (const order of wanted) void give(order);
+    const phaseEngines = engines();
+    noteLoad(phaseEngines.reduce((sum, engine) => sum + engine.requests, 0));
+    const isIdle = now - lastBusyAtMs > IDLE_AFTER_MS;
+    const orders = choosePhaseOrders(phaseEngines, peak.streams, isIdle, PHASE_SPLIT_OPTIONS);
+    if (orders.length === 0) lastCorrectAtMs = now;
+    const delayMs = isShortByLimits(phaseEngines) ? RATE_LIMITED_DELAY_MS : WRONG_SPLIT_DELAY_MS;
+    if (now - lastCorrectAtMs < delayMs || !mayOrder()) return;
+    for (const order of orders) void changePhase(order);
   }
 
-  function isShortByLimits(known: readonly PhaseEngine[]): boolean {
-    const wanted = decodeEnginesWanted(known.length, peak.streams, PHASE_SPLIT_OPTIONS);
-    return shortByLimits(known, wanted) > 0;
+  function isShortByLimits(phaseEngines: readonly PhaseEngine[]): boolean {
+    const wantedEngines = decodeEnginesWanted(
+      phaseEngines.length,
+      peak.streams,
+      PHASE_SPLIT_OPTIONS,
+    );
+    return shortByLimits(phaseEngines, wantedEngines) > 0;
   }
 
-  async function give({ engineId, phase }: PhaseOrder): Promise<void> {
+  async function changePhase({ engineId, phase }: PhaseOrder): Promise<void> {
     const target = view.targets.get(engineId)?.entry;
     if (target === undefined) return;
-    changingUntilMs.set(engineId, nowMs() + CHANGE_MS);
+    changingUntilMs.set(engineId, nowMs() + PHASE_CHANGE_MS);
     const standing = await control.readStanding(target);
     if (standing.isErr()) {
       log.warn('engine not read', { target: engineId, cause: standing.error.message });
       return;
     }
     if (standing.value.busy || standing.value.phase === phase) return;
-    // Asked again right before sending: the lease may have run out during the reading.
+    // Checked again right before sending: the lease may have expired while the engine was read.
     if (!mayOrder() || !view.targets.has(engineId)) return;
-    await send(target, phase, standing.value.ordersAccepted);
+    await sendOrder(target, phase, standing.value.ordersAccepted);
   }
 
-  async function send(
+  async function sendOrder(
     target: TargetEntry,
     phase: EnginePhase,
     ordersAccepted: number,
@@ -202,15 +213,15 @@
     const authority = { holder: options.selfId, fence: lease.state.fence };
     const answer = await control.orderPhase(target, phase, authority, ordersAccepted);
     const outcome = answer.match(
-      (said) => said as string,
+      (orderAnswer) => orderAnswer as string,
       (failure) => failure.message,
     );
     options.count('phase_orders_total');
     log.info('phase ordered', { target: target.id, service, phase, ...authority, outcome });
     const accepted = answer.isOk() && answer.value === OrderAnswer.Accepted;
-    const untilMs = nowMs() + (answer.isErr() ? UNANSWERED_MS : CHANGE_MS);
+    const untilMs = nowMs() + (answer.isErr() ? UNANSWERED_ORDER_MS : PHASE_CHANGE_MS);
     changingUntilMs.set(target.id, untilMs);
-    if (accepted) schedulers.suspend(service, target.id, nowMs() + CHANGE_MS);
+    if (accepted) schedulers.suspend(service, target.id, nowMs() + PHASE_CHANGE_MS);
   }
 
   return {
--- a/packages/daemon/src/gateway/presence.ts
+++ b/packages/daemon/src/gateway/presence.ts
@@ -1,6 +1,7 @@
 /**
- * Announces this gateway to the others for as long as it lives: an entry in the platform's store
- * under a lease. The others choose from these entries who schedules a service.
+ * Announces this gateway to the others with an entry in the platform's store, under a lease that is
+ * renewed while the process runs. The gateways choose the scheduler of a service from these
+ * entries.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import {
@@ -13,12 +14,12 @@
 import type { Child } from '../supervisor/supervisor.js';
 import type { GatewayLog } from './gateway-log.js';
 
-/** A lease is renewed so many times in its time to live: two renewals may be lost. */
+/** Renewals within the time to live of a lease; two consecutive renewals may be lost. */
 const RENEWALS_PER_TTL = 3;
-/** Pauses after calls that failed. */
-const RETRIES: BackOffBounds = { firstMs: 300, mostMs: 1200 };
+/** Backoff after failed calls. */
+const RETRY_BACKOFF: BackOffBounds = { firstMs: 300, mostMs: 1200 };
 
-/** What the presence needs. */
+/** Dependencies of the presence. */
 export interface PresenceOptions {
   readonly fleet: FleetPort;
   readonly self: GatewayEntry;
@@ -28,72 +29,72 @@
   readonly log: GatewayLog;
 }
 
-/** A presence that can be withdrawn before the process ends. */
+/** The announcement of this gateway, which can be withdrawn before the process ends. */
 export interface Presence {
   readonly child: Child;
-  /** Resolves when it was first tried to announce this gateway, whatever came of it. */
+  /** Resolves after the first attempt to announce this gateway, whether or not it succeeded. */
   readonly tried: Promise<void>;
-  /** Whether the announcement stands, as far as the store has said lately. */
+  /** Whether the store has confirmed the announcement within its time to live. */
   readonly isConfirmed: () => boolean;
   readonly withdraw: () => Promise<void>;
 }
 
-/** Makes the presence. */
+/** Creates the presence. */
 export function createPresence(options: PresenceOptions): Presence {
   const { fleet, self, ttlMs, random, nowMs, log } = options;
   let confirmedAtMs = -Infinity;
   let leaseId: string | null = null;
   let stopped = true;
   let failuresInARow = 0;
-  let noteTried: () => void = () => undefined;
+  let resolveTried: () => void = () => undefined;
   const tried = new Promise<void>((resolve) => {
-    noteTried = resolve;
+    resolveTried = resolve;
   });
 
   async function announce(): Promise<void> {
     const granted = await fleet.grantLease(ttlMs);
     if (granted.isErr()) return;
-    const { leaseId: granting } = granted.value;
-    if (stopped) return revoke(granting);
-    const announced = await fleet.announce(self, granting);
-    // Guards against an announcement that outlives its gateway: it shows as gateways that ask one
-    // that has stopped to schedule, until the lease lapses.
-    if (stopped) return revoke(granting);
-    // An announcement whose answer was lost may stand; its lease then lapses by itself.
+    const { leaseId: grantedLeaseId } = granted.value;
+    if (stopped) return revoke(grantedLeaseId);
+    const announced = await fleet.announce(self, grantedLeaseId);
+    // If this gateway was stopped meanwhile, the announcement must not remain: until the lease
+    // expired, other gateways would send their scheduling requests to a stopped gateway.
+    if (stopped) return revoke(grantedLeaseId);
+    // If only the answer was lost, the announcement was stored; it then expires with its lease.
     if (announced.isErr()) return;
-    leaseId = granting;
+    leaseId = grantedLeaseId;
     confirmedAtMs = nowMs();
     log.info('announced to the other gateways', { leaseId, ttlMs });
   }
 
-  async function turn(): Promise<void> {
+  async function announceOrRenew(): Promise<void> {
     if (leaseId === null) {
       await announce();
-      noteTried();
+      resolveTried();
     } else {
       const sentAtMs = nowMs();
-      const kept = await fleet.keepLeaseAlive(leaseId);
-      if (kept.isOk()) confirmedAtMs = sentAtMs;
-      if (kept.isErr() && KEY_VALUE_LEASE_GONE.is(kept.error)) {
-        log.warn('announcement lapsed', { cause: kept.error.message });
+      const renewal = await fleet.keepLeaseAlive(leaseId);
+      if (renewal.isOk()) confirmedAtMs = sentAtMs;
+      if (renewal.isErr() && KEY_VALUE_LEASE_GONE.is(renewal.error)) {
+        log.warn('announcement lapsed', { cause: renewal.error.message });
         leaseId = null;
       }
     }
     failuresInARow = leaseId === null ? failuresInARow + 1 : 0;
     const isAnnounced = leaseId !== null;
-    const retryMs = waitAfterFailuresMs(failuresInARow, RETRIES, random);
+    const retryMs = waitAfterFailuresMs(failuresInARow, RETRY_BACKOFF, random);
     await sleep(isAnnounced ? ttlMs / RENEWALS_PER_TTL : retryMs);
   }
 
   async function withdraw(): Promise<void> {
     stopped = true;
-    const held = leaseId;
+    const heldLeaseId = leaseId;
     leaseId = null;
-    if (held !== null) await revoke(held);
+    if (heldLeaseId !== null) await revoke(heldLeaseId);
   }
 
-  async function revoke(held: string): Promise<void> {
-    const revoked = await fleet.revokeLease(held);
+  async function revoke(revokedLeaseId: string): Promise<void> {
+    const revoked = await fleet.revokeLease(revokedLeaseId);
     if (revoked.isErr()) log.warn('announcement left to lapse', { cause: revoked.error.message });
   }
 
@@ -103,7 +104,7 @@
       start: () => {
         stopped = false;
         void (async () => {
-          while (!stopped) await turn();
+          while (!stopped) await announceOrRenew();
         })();
         return Promise.resolve();
       },
--- a/packages/daemon/src/gateway/report-queue.ts
+++ b/packages/daemon/src/gateway/report-queue.ts
@@ -1,40 +1,40 @@
 /**
- * Reports to the gateway that schedules, gathered for a moment: a request gives three of them, each
- * a call of its own would cost both sides as much processor time as the question for an engine. A
- * question takes along what waits for the same scheduler.
+ * Batches the reports to the scheduling gateway. A request produces three reports, and a separate
+ * call for each would cost both sides as much CPU time as the request for an engine. A request for
+ * an engine also carries the reports that are queued for the same scheduler.
  */
 import { type JobEvent, JobEventKind } from '@cassiamast/coordination';
 
 /**
- * How long a report waits for others. An engine has reading ahead for longer than that, so the
- * report of a prompt that was read may come as late.
+ * How long a report waits for others. The report of a finished prefill may be delayed this long
+ * because an engine has more prefill work queued than that.
  */
-const GATHER_MS = 15;
-/** Reports that wait for one scheduler; a gateway makes far fewer in that time. */
-const MAX_WAITING = 256;
+const BATCH_DELAY_MS = 15;
+/** Maximum reports queued for one scheduler; a gateway produces far fewer in that time. */
+const MAX_QUEUED_REPORTS = 256;
 
-/** What a scheduler must hear at once, so that no further work goes to a failed target. */
-const URGENT: ReadonlySet<JobEventKind> = new Set([JobEventKind.Failed, JobEventKind.Broke]);
+/** Reports that are sent immediately, so that no more work is assigned to a failed target. */
+const URGENT_KINDS: ReadonlySet<JobEventKind> = new Set([JobEventKind.Failed, JobEventKind.Broke]);
 
-/** Sends gathered reports of one service to one scheduler. */
+/** Sends a batch of reports of one service to one scheduler. */
 export type SendReports = (
   schedulerId: string,
   service: string,
   events: readonly JobEvent[],
 ) => void;
 
-/** Reports that wait. */
+/** Queues reports by scheduler and service. */
 export interface ReportQueue {
   readonly put: (schedulerId: string, service: string, event: JobEvent) => void;
-  /** Takes what waits for a scheduler, to be sent along with something else. */
+  /** Removes and returns the queued reports for a scheduler, to be sent with another call. */
   readonly take: (schedulerId: string, service: string) => readonly JobEvent[];
-  /** Sends all that waits. */
+  /** Sends all queued reports. */
   readonly flushAll: () => void;
 }
 
-/** Makes an empty queue. */
+/** Creates an empty queue. */
 export function createReportQueue(send: SendReports): ReportQueue {
-  const waiting = new Map<
+  const batches = new Map<
     string,
     {
       readonly schedulerId: string;
@@ -46,9 +46,9 @@
 
   function take(schedulerId: string, service: string): readonly JobEvent[] {
     const key = keyOf(schedulerId, service);
-    const batch = waiting.get(key);
+    const batch = batches.get(key);
     if (batch === undefined) return [];
-    waiting.delete(key);
+    batches.delete(key);
     clearTimeout(batch.timer);
     return batch.events;
   }
@@ -61,21 +61,22 @@
   return {
     take,
     flushAll: () => {
-      for (const { schedulerId, service } of [...waiting.values()]) flush(schedulerId, service);
+      for (const { schedulerId, service } of [...batches.values()]) flush(schedulerId, service);
     },
     put: (schedulerId, service, event) => {
       const key = keyOf(schedulerId, service);
-      const batch = waiting.get(key) ?? {
+      const batch = batches.get(key) ?? {
         schedulerId,
         service,
         events: [],
         timer: setTimeout(() => {
           flush(schedulerId, service);
-        }, GATHER_MS),
+        }, BATCH_DELAY_MS),
       };
-      waiting.set(key, batch);
+      batches.set(key, batch);
       batch.events.push(event);
-      if (URGENT.has(event.kind) || batch.events.length >= MAX_WAITING) flush(schedulerId, service);
+      if (URGENT_KINDS.has(event.kind) || batch.events.length >= MAX_QUEUED_REPORTS)
+        flush(schedulerId, service);
     },
   };
 }
--- a/packages/daemon/src/gateway/retry-budgets.ts
+++ b/packages/daemon/src/gateway/retry-budgets.ts
@@ -1,4 +1,4 @@
-/** The retry windows of all services at this gateway. */
+/** Limits the retries of each service at this gateway to its part of a shared retry budget. */
 import {
   type RetryWindow,
   type RetryWindowOptions,
@@ -8,14 +8,14 @@
 } from '@cassiamast/coordination';
 import type { GatewayCount } from './gateway-count.js';
 
-/** Counts requests and takes retries, by service. */
+/** Counts requests and grants retries, by service. */
 export interface RetryBudgets {
   readonly noteRequest: (service: string) => void;
-  /** Takes so many retries or none. */
+  /** Takes `arrivals` retries from the budget, or none. Returns whether they were granted. */
   readonly take: (service: string, arrivals?: number) => boolean;
 }
 
-/** Makes empty windows. */
+/** Creates empty retry windows. */
 export function createRetryBudgets(
   options: RetryWindowOptions,
   gateways: Pick<GatewayCount, 'count'>,
--- a/packages/daemon/src/gateway/scheduling-client.ts
+++ b/packages/daemon/src/gateway/scheduling-client.ts
@@ -1,7 +1,8 @@
 /**
- * Asks for engines. All gateways ask the same one, the longest announced of those that live; where
- * it is gone, the next one, at last this process itself. So the loss of the one that schedules costs
- * each waiting request a single short timeout, and one that is busy keeps its part.
+ * Requests engines from the scheduling gateway. All gateways use the same one, the live gateway
+ * with the oldest announcement. If it has failed, they use the next oldest, and finally this
+ * process itself. The loss of the scheduler costs each waiting request one short timeout, and a
+ * scheduler that is only busy keeps its role.
  */
 import {
   type Decision,
@@ -19,28 +20,30 @@
 import { type SendReports, createReportQueue } from './report-queue.js';
 import type { JobRequest, SchedulingService } from './scheduling-service.js';
 
-/** One question waits so long for a decision before it is asked again. */
-const QUESTION_MS = 150;
+/** How long one call waits for a decision before the client calls again. */
+const DECISION_WAIT_MS = 150;
 /**
- * A gateway that does not answer so long after that may be gone: it is looked at. Early, since to look
- * costs one connection, and whoever waits for a VM that is gone waits for nothing.
+ * Time after that wait before an unanswered scheduler's VM is probed. It is short because a probe
+ * costs only one connection, while waiting for a failed VM is useless.
  */
 const ANSWER_SLACK_MS = 100;
-/** How long a VM that is there may take to let a connection in. */
-const REACHED_WITHIN_MS = 300;
+/** How long a live VM may take to accept a connection. */
+const CONNECT_TIMEOUT_MS = 300;
 /**
- * How long one that is there may be busy. As long as a small VM takes for what came while all
- * gateways were away, with code that runs for the first time.
+ * How long the scheduler may be busy if its VM accepts connections. A small VM needs this long for
+ * the requests that accumulated while all gateways were down, with code that is not compiled yet.
  */
-const BUSY_MS = 1000;
-/** How long it is passed over. */
+const BUSY_ALLOWANCE_MS = 1000;
+/** How long an unreachable scheduler is skipped. */
 const SUSPECT_MS = 2000;
-/** Others ask a scheduler many times in this time if they take it for the one. */
-const ASKED_MEMORY_MS = 1000;
-/** Reports that are lost only let the scheduler believe an engine busy for longer. */
+/** Gateways that use a scheduler call it many times within this time. */
+const RECENTLY_ASKED_MS = 1000;
+/**
+ * Timeout of a report. A lost report only makes the scheduler count an engine as busy for longer.
+ */
 const REPORT_TIMEOUT_MS = 500;
 
-/** What the client needs. */
+/** Dependencies of the client. */
 export interface SchedulingClientOptions {
   readonly selfId: string;
   readonly view: FleetView;
@@ -49,39 +52,40 @@
   readonly nowMs: () => number;
   readonly log: GatewayLog;
   readonly count: (name: string) => void;
-  /** Whether a VM is there, though its process does not answer. */
+  /** Whether a VM accepts connections although its process does not answer. */
   readonly isReachable: IsReachable;
-  /** Whether the others can still see this gateway's announcement. */
+  /** Whether other gateways can still see this gateway's announcement. */
   readonly isConfirmed: () => boolean;
 }
 
 /**
- * What a gateway answers that was asked because of an announcement of its life before, or of one
- * that had lapsed since: it is younger than the asker believes, so another one may decide.
+ * The answer of a gateway to a call that relies on an announcement from before its restart, or on
+ * one that has since expired. Its current announcement is newer than the requester assumes, so
+ * another gateway may be the scheduler.
  */
 export const ANNOUNCED_SINCE = 'announced-since';
 
-/** The answer to a question for an engine: null while there is no decision. */
+/** The answer to a request for an engine, or null while there is no decision. */
 export type ScheduleAnswer = Decision | typeof ANNOUNCED_SINCE | null;
 
-/** A decision and who made it. */
+/** A decision and the gateway that made it. */
 export interface SchedulingAnswer {
   readonly decision: Decision;
   readonly schedulerId: string;
 }
 
-/** Asks for engines. */
+/** Requests engines from the scheduling gateway and reports the progress of jobs to it. */
 export interface SchedulingClient {
   /**
-   * Another gateway asked this one for an engine, because of an announcement at a revision. Gives
-   * whether that announcement still stands. Guards against several schedulers after all gateways have
-   * started again: the store still has the announcements of their lives before, each gateway sees
-   * others of them, and each asks another one.
+   * Records that another gateway requested an engine because of this gateway's announcement at a
+   * revision, and returns whether that announcement is still valid. Prevents several schedulers
+   * after all gateways have restarted: the store still contains announcements from before the
+   * restart, and gateways that see different ones of them would choose different schedulers.
    */
   readonly noteAsked: (announcedAtRevision: number) => boolean;
-  /** The gateway that schedules a service, as far as this one knows. */
+  /** Returns the gateway that schedules a service, according to this gateway's view. */
   readonly schedulerOf: (service: string) => string;
-  /** Resolves with the decision, or null when the signal ended the wait. */
+  /** Resolves with the decision, or with null when the signal is aborted. */
   readonly take: (
     service: string,
     job: () => JobRequest,
@@ -94,38 +98,38 @@
     jobId: string,
     target: string,
   ) => void;
-  /** Sends the reports that wait; resolves when all of them have arrived or are lost. */
+  /** Sends the queued reports. Resolves when each has been delivered or lost. */
   readonly settle: () => Promise<void>;
 }
 
-/** Looks at a scheduler whose answer is late. */
-interface AnswerWatch {
-  /** Resolves when it is found to be gone; never, while it is there. */
+/** Probes the VM of a scheduler whose answer is late. */
+interface LateAnswerProbe {
+  /** Resolves when the VM is found unreachable; otherwise it never resolves. */
   readonly gone: Promise<Result<never, string>>;
   readonly stop: () => void;
 }
 
-/** Services that need a scheduler. */
+/** Returns the services that need a scheduler. */
 function engineServices({ table }: FleetView): readonly string[] {
   const services = [...(table?.servicesByName.values() ?? [])];
   return services.filter(({ engine }) => engine !== null).map(({ name }) => name);
 }
 
-/** Makes the client. */
+/** Creates the client. */
 export function createSchedulingClient(options: SchedulingClientOptions): SchedulingClient {
   const { selfId, view, rpc, local, nowMs, log, count, isReachable } = options;
   const suspectUntilMs = new Map<string, number>();
-  /** Announcements that no longer hold, by gateway: the revision of each. */
-  const voidRevisions = new Map<string, number>();
-  let askedAtMs = -Infinity;
+  /** Revisions of announcements that are no longer valid, by gateway. */
+  const staleRevisions = new Map<string, number>();
+  let lastAskedAtMs = -Infinity;
 
   /**
-   * Guards against two schedulers at once: a gateway that is cut off from the store still sees its
-   * own announcement when it has lapsed for all others. It shows as engines that are given work by
-   * two lines. It holds on to its part only while others ask it.
+   * Whether this gateway may act as scheduler. A gateway that is cut off from the store still sees
+   * its own announcement after it has expired for all others, and two schedulers would assign work
+   * to the same engines. Such a gateway remains scheduler only while others send requests to it.
    */
   function mayScheduleHere(): boolean {
-    return options.isConfirmed() || nowMs() - askedAtMs < ASKED_MEMORY_MS;
+    return options.isConfirmed() || nowMs() - lastAskedAtMs < RECENTLY_ASKED_MS;
   }
 
   function schedulerOf(service: string): string {
@@ -133,20 +137,20 @@
     const live = [...view.gateways.values()].filter(
       ({ id, announcedAtRevision }) =>
         (suspectUntilMs.get(id) ?? 0) <= now &&
-        voidRevisions.get(id) !== announcedAtRevision &&
+        staleRevisions.get(id) !== announcedAtRevision &&
         (id !== selfId || mayScheduleHere()),
     );
     return chooseScheduler(live, service, engineServices(view)) ?? selfId;
   }
 
-  function suspect(gateway: string, service: string, cause: string): void {
-    const known = suspectUntilMs.get(gateway) ?? 0;
+  function suspectGateway(gateway: string, service: string, cause: string): void {
+    const earlierUntilMs = suspectUntilMs.get(gateway) ?? 0;
     suspectUntilMs.set(gateway, nowMs() + SUSPECT_MS);
     count('scheduler_unreachable_total');
-    if (known <= nowMs()) log.warn('scheduler passed over', { gateway, service, cause });
+    if (earlierUntilMs <= nowMs()) log.warn('scheduler passed over', { gateway, service, cause });
   }
 
-  const reporting = new Set<Promise<void>>();
+  const pendingReports = new Set<Promise<void>>();
 
   async function sendReports(...[schedulerId, service, events]: Parameters<SendReports>) {
     const sent = await rpc.call(schedulerId, RpcMethod.ScheduleReport, [service, events], {
@@ -157,64 +161,65 @@
 
   const reports = createReportQueue((...batch) => {
     const sending = sendReports(...batch);
-    reporting.add(sending);
-    void sending.finally(() => reporting.delete(sending));
+    pendingReports.add(sending);
+    void sending.finally(() => pendingReports.delete(sending));
   });
 
   /**
-   * Guards against reports that are lost with a process that ends: they show as an engine that stands
-   * idle while others wait, since its scheduler believes that it still runs what has ended.
+   * Sends the queued reports before the process ends. If they were lost, the scheduler would count
+   * finished jobs as running and leave their engines idle while requests wait.
    */
   async function settle(): Promise<void> {
     reports.flushAll();
-    await Promise.all(reporting);
+    await Promise.all(pendingReports);
   }
 
-  async function ask(
+  async function requestDecision(
     gateway: string,
     service: string,
     job: JobRequest,
   ): Promise<Decision | null | undefined> {
-    if (gateway === selfId) return local.take(service, job, QUESTION_MS);
-    const revision = announcedAt(gateway);
+    if (gateway === selfId) return local.take(service, job, DECISION_WAIT_MS);
+    const revision = announcementRevision(gateway);
     const answer = rpc
       .call<ScheduleAnswer>(
         gateway,
         RpcMethod.ScheduleTake,
-        [service, job, QUESTION_MS, reports.take(gateway, service), revision],
-        { timeoutMs: QUESTION_MS + BUSY_MS },
+        [service, job, DECISION_WAIT_MS, reports.take(gateway, service), revision],
+        { timeoutMs: DECISION_WAIT_MS + BUSY_ALLOWANCE_MS },
       )
       .mapErr(({ message }) => message);
-    const watch = watchAnswer(gateway);
-    const outcome = await Promise.race([answer, watch.gone]);
-    watch.stop();
+    const probe = probeLateScheduler(gateway);
+    const outcome = await Promise.race([answer, probe.gone]);
+    probe.stop();
     if (outcome.isOk() && outcome.value !== ANNOUNCED_SINCE) return outcome.value;
     if (outcome.isOk()) {
-      voidRevisions.set(gateway, revision);
+      staleRevisions.set(gateway, revision);
       return undefined;
     }
-    suspect(gateway, service, outcome.error);
+    suspectGateway(gateway, service, outcome.error);
     return undefined;
   }
 
-  function announcedAt(gateway: string): number {
+  function announcementRevision(gateway: string): number {
     return view.gateways.get(gateway)?.announcedAtRevision ?? 0;
   }
 
   /**
-   * Guards against a scheduler that is passed over while it is only busy: after all gateways lost
-   * power, it shows as several that decide for the same engines without knowing of each other, each
-   * of them cold. A VM that lets a connection in lives, and its answer is waited for.
+   * Probes a scheduler whose answer is late. A VM that accepts a connection is alive, and its
+   * answer is awaited. If a scheduler that is only busy were skipped, several gateways would
+   * schedule the same engines independently, each with code that is not compiled yet; this happened
+   * after a power loss of all gateways.
    */
-  function watchAnswer(gateway: string): AnswerWatch {
+  function probeLateScheduler(gateway: string): LateAnswerProbe {
     let timer: NodeJS.Timeout;
     const gone = new Promise<Result<never, string>>((resolve) => {
       timer = setTimeout(() => {
-        void isReachable(gateway, REACHED_WITHIN_MS).then((reached) => {
+        void isReachable(gateway, CONNECT_TIMEOUT_MS).then((reached) => {
           if (reached) count('scheduler_busy_total');
           else resolve(err('neither an answer nor a connection'));
         });
-      }, QUESTION_MS + ANSWER_SLACK_MS);
+      }, DECISION_WAIT_MS + ANSWER_SLACK_MS);
     });
     return {
       gone,
@@ -238,32 +243,32 @@
 
   return {
     noteAsked: (announcedAtRevision) => {
-      const stands = announcedAt(selfId) <= announcedAtRevision;
-      if (stands) askedAtMs = nowMs();
-      return stands;
+      const isValid = announcementRevision(selfId) <= announcedAtRevision;
+      if (isValid) lastAskedAtMs = nowMs();
+      return isValid;
     },
     schedulerOf,
     take: async (service, job, signal) => {
       let gateway = '';
-      let asking: Promise<unknown> = Promise.resolve();
-      // A busy scheduler may answer long after nobody waits for it any more.
-      const over = whenAborted(signal);
+      let pendingCall: Promise<unknown> = Promise.resolve();
+      // The wait ends with the signal, since a busy scheduler may answer much later.
+      const abort = whenAborted(signal);
       while (!signal.aborted) {
         gateway = schedulerOf(service);
-        const answer = ask(gateway, service, job());
-        asking = answer;
-        const decision = await Promise.race([answer, over.aborted]);
+        const answer = requestDecision(gateway, service, job());
+        pendingCall = answer;
+        const decision = await Promise.race([answer, abort.aborted]);
         if (!decision || signal.aborted) continue;
-        over.stop();
+        abort.stop();
         return { decision, schedulerId: gateway };
       }
-      // Guards against an engine that is kept for a caller who left: it shows as engines that read
-      // nothing while others wait, until the caller's deadline has passed. The question is waited for,
-      // since a scheduler that heard of the end before it would still grant an engine.
-      const ended = (): void => {
+      // Releases the engine of a caller that has disconnected. Without this report the engine would
+      // stay idle until the caller's deadline while other requests wait. The report is sent after
+      // the pending call, since a scheduler that received it first would still grant an engine.
+      const reportEnded = (): void => {
         if (gateway !== '') report(service, gateway, JobEventKind.Ended, job().id, '');
       };
-      void asking.then(ended, ended);
+      void pendingCall.then(reportEnded, reportEnded);
       return null;
     },
     report,
@@ -271,7 +276,7 @@
   };
 }
 
-/** Resolves when a signal is aborted; `stop` lets go of it. */
+/** Resolves when a signal is aborted; `stop` removes the listener. */
 function whenAborted(signal: AbortSignal): {
   readonly aborted: Promise<undefined>;
   readonly stop: () => void;
--- a/packages/daemon/src/gateway/scheduling-service.ts
+++ b/packages/daemon/src/gateway/scheduling-service.ts
@@ -1,7 +1,7 @@
 /**
- * Runs the schedulers of this gateway: one for each service that it was asked about, its own
- * callers' jobs included. Whether it is the one that all gateways ask is their decision; a
- * scheduler that is asked decides.
+ * Runs the schedulers of this gateway, one for each service for which it receives jobs, including
+ * those of its own callers. The gateways choose which of them schedules a service; this module
+ * decides every job that it receives.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import {
@@ -26,33 +26,37 @@
 import type { EngineControlPort } from '@cassiamast/ports';
 import type { GatewayLog } from './gateway-log.js';
 
-/** A job as it crosses processes: times are relative, since clocks differ. */
+/** A job as sent between processes. Times are relative because clocks differ between VMs. */
 export interface JobRequest extends Omit<Job, 'aimAtMs' | 'deadlineAtMs'> {
   readonly aimInMs: number;
   readonly deadlineInMs: number;
 }
 
-/** How often lines are looked at while jobs wait: well under the reading of an ordinary prompt. */
+/**
+ * Interval of scheduling while jobs are queued, far shorter than the prefill of a typical prompt.
+ */
 const TICK_MS = 10;
 
 /** The schedulers of one gateway. */
 export interface SchedulingService {
-  /** Takes a job in and waits a while for its decision; null while there is none. */
+  /**
+   * Queues a job and waits up to `waitMs` for its decision. Resolves with null if there is none.
+   */
   readonly take: (service: string, job: JobRequest, waitMs: number) => Promise<Decision | null>;
   readonly report: (service: string, events: readonly JobEvent[]) => void;
-  /** Requests at each engine, as far as this process schedules them. */
+  /** Returns the number of requests at each engine that this process has scheduled. */
   readonly engineRequests: (service: string) => ReadonlyMap<string, number>;
-  /** An engine takes no work until then. */
+  /** Assigns no work to an engine until the given time. */
   readonly suspend: (service: string, target: string, untilMs: number) => void;
-  /** The fleet changed. */
+  /** Updates the engines of all schedulers after a change of the fleet. */
   readonly refresh: () => void;
   readonly stop: () => void;
 }
 
-/** Tells a waiting question its answer. */
-type Answer = (decision: Decision | null) => void;
+/** Delivers a decision to the call that waits for it. */
+type DeliverDecision = (decision: Decision | null) => void;
 
-/** What the service needs. */
+/** Dependencies of the service. */
 export interface SchedulingServiceOptions {
   readonly view: FleetView;
   readonly control: EngineControlPort;
@@ -61,28 +65,28 @@
   readonly log: GatewayLog;
 }
 
-/** Makes the service. */
+/** Creates the service. */
 export function createSchedulingService(options: SchedulingServiceOptions): SchedulingService {
   const { view, control, permits, nowMs, log } = options;
   const schedulers = new Map<string, Scheduler>();
-  const answers = new Map<string, Answer>();
+  const pendingAnswers = new Map<string, DeliverDecision>();
   let timer: NodeJS.Timeout | null = null;
 
   function schedulerOf(service: string): Scheduler {
-    const known = schedulers.get(service);
-    if (known !== undefined) return known;
-    const made = createScheduler(SCHEDULER_OPTIONS, permits);
-    schedulers.set(service, made);
-    follow(service, made);
-    return made;
+    const existing = schedulers.get(service);
+    if (existing !== undefined) return existing;
+    const created = createScheduler(SCHEDULER_OPTIONS, permits);
+    schedulers.set(service, created);
+    updateEngines(service, created);
+    return created;
   }
 
-  function follow(service: string, scheduler: Scheduler): void {
+  function updateEngines(service: string, scheduler: Scheduler): void {
     const spec = view.table?.servicesByName.get(service)?.engine ?? null;
     if (spec !== null) noteEngines(scheduler, servingTargets(view, service, nowMs()), spec);
   }
 
-  /** Asks engines for their caches where another process may have scheduled meanwhile. */
+  /** Reads the caches of engines for which another process may have scheduled jobs meanwhile. */
   function refreshCaches(service: string, scheduler: Scheduler): void {
     const ids = enginesToList(scheduler, nowMs());
     if (ids.length === 0) return;
@@ -93,8 +97,8 @@
   async function refreshCache(scheduler: Scheduler, id: string): Promise<void> {
     const target = view.targets.get(id)?.entry;
     if (target === undefined) return;
-    const listed = await control.readCache(target);
-    listed.match(
+    const cacheResult = await control.readCache(target);
+    cacheResult.match(
       (parts) => {
         seedCache(scheduler, id, parts);
       },
@@ -104,30 +108,30 @@
     );
   }
 
-  function tell(decisions: readonly Decision[]): void {
-    for (const decision of decisions) answers.get(decision.jobId)?.(decision);
+  function deliverDecisions(decisions: readonly Decision[]): void {
+    for (const decision of decisions) pendingAnswers.get(decision.jobId)?.(decision);
   }
 
   function tick(): void {
     timer = null;
-    let waits = false;
+    let hasPendingJobs = false;
     for (const scheduler of schedulers.values()) {
-      tell(tickScheduler(scheduler, nowMs()));
-      waits ||= scheduler.waiting.size > 0 || scheduler.decided.size > 0;
+      deliverDecisions(tickScheduler(scheduler, nowMs()));
+      hasPendingJobs ||= scheduler.waiting.size > 0 || scheduler.decided.size > 0;
     }
-    if (waits) keepTicking();
+    if (hasPendingJobs) scheduleTick();
   }
 
   /**
-   * Guards against refusals by a gateway that was found as a scheduler before it has listed the
-   * fleet: it shows as callers sent away since no target takes work, seconds after a start.
+   * Leaves a job undecided while this gateway has not listed the fleet yet. A gateway may be chosen
+   * as scheduler in the seconds after its start, and would refuse jobs because it knows no targets.
    */
   async function noDecision(waitMs: number): Promise<null> {
     await sleep(waitMs);
     return null;
   }
 
-  function keepTicking(): void {
+  function scheduleTick(): void {
     timer ??= setTimeout(tick, TICK_MS);
   }
 
@@ -141,30 +145,30 @@
       refreshCaches(service, scheduler);
       const decisions = submitJob(scheduler, job, now);
       const own = decisions.find((decision) => decision.jobId === job.id) ?? null;
-      tell(decisions);
-      keepTicking();
+      deliverDecisions(decisions);
+      scheduleTick();
       if (own !== null) return Promise.resolve(own);
       return new Promise((resolve) => {
-        const answer: Answer = (decision) => {
+        const deliver: DeliverDecision = (decision) => {
           clearTimeout(timeout);
-          if (answers.get(job.id) === answer) answers.delete(job.id);
+          if (pendingAnswers.get(job.id) === deliver) pendingAnswers.delete(job.id);
           resolve(decision);
         };
         const timeout = setTimeout(() => {
-          answer(null);
+          deliver(null);
         }, waitMs);
-        answers.set(job.id, answer);
+        pendingAnswers.set(job.id, deliver);
       });
     },
     report: (service, events) => {
-      tell(noteJobEvents(schedulerOf(service), events, nowMs()));
+      deliverDecisions(noteJobEvents(schedulerOf(service), events, nowMs()));
     },
     engineRequests: (service) => engineRequests(schedulerOf(service)),
     suspend: (service, target, untilMs) => {
       suspendEngine(schedulerOf(service), target, untilMs);
     },
     refresh: () => {
-      for (const [service, scheduler] of schedulers) follow(service, scheduler);
+      for (const [service, scheduler] of schedulers) updateEngines(service, scheduler);
     },
     stop: () => {
       if (timer !== null) clearTimeout(timer);
--- a/packages/daemon/src/gateway/silence-watch.ts
+++ b/packages/daemon/src/gateway/silence-watch.ts
@@ -1,25 +1,28 @@
 /**
- * Notices a target that went silent while it has a request. Guards against engines that go dark: it
- * shows as requests that wait for them until their callers leave, two to five seconds later, while
- * others are sent there as well. The request's own silence is not enough, since a busy engine lets a
- * request wait; that nothing else comes from it either tells the two apart.
+ * Detects a target that has become unresponsive while it has a request. Without it, requests would
+ * wait for a failed engine until their callers disconnect, two to five seconds later, and more
+ * requests would be sent to it. Inactivity of one request is not enough, since a busy engine lets
+ * requests wait; the target counts as unresponsive only if it sends nothing for any other request
+ * either.
  */
 import type { StandstillWatch } from '../node/standstill.js';
 import type { TargetPulse } from './target-pulse.js';
 
-/** How often a silent request is looked at again. */
-const CHECK_MS = 100;
-/** Nothing of any request came from the target for so long. Streams make an event every 10 to 30 ms. */
-const TARGET_SILENT_MS = 600;
+/** Interval between checks of an inactive request. */
+const RECHECK_INTERVAL_MS = 100;
+/**
+ * Inactivity of an unresponsive target, over all requests. Streams emit an event every 10 to 30 ms.
+ */
+const TARGET_INACTIVITY_MS = 600;
 
-/** Watches one request at one target. */
+/** Watches one request at one target for inactivity. */
 export interface SilenceWatch {
-  /** Something came for the request. */
+  /** Records that bytes were received for the request. */
   readonly noteBytes: () => void;
   readonly stop: () => void;
 }
 
-/** What a watch looks at. */
+/** Sources that a watch evaluates. */
 export interface SilenceSigns {
   readonly pulse: TargetPulse;
   readonly standstill: Pick<StandstillWatch, 'catchUp'>;
@@ -27,30 +30,32 @@
 }
 
 /**
- * Starts to watch; `onSilent` is told once, when the target is taken for dark. Guards also against a
- * standstill of this process that is taken for the target's silence: it shows as streams and readings
- * that are given up all at once, though what the targets sent meanwhile is there to be read.
+ * Starts to watch a request. Calls `onUnresponsive` once when the target is found unresponsive. An
+ * event loop stall of this process does not count as inactivity of the target; otherwise many
+ * streams and prefills would be given up at once although the data that targets sent meanwhile is
+ * waiting to be read.
  */
 export function watchSilence(
   { pulse, standstill, nowMs }: SilenceSigns,
   target: string,
   allowedMs: number,
-  onSilent: () => void,
+  onUnresponsive: () => void,
 ): SilenceWatch {
-  let heardAtMs = nowMs();
+  let lastBytesAtMs = nowMs();
   let timer = setTimeout(check, allowedMs);
 
   function check(): void {
-    const leftMs = allowedMs - (nowMs() - heardAtMs);
-    if (leftMs > 0) timer = setTimeout(check, leftMs);
-    else if (standstill.catchUp() !== null) timer = setTimeout(check, CHECK_MS);
-    else if (!pulse.isSilent(target, TARGET_SILENT_MS)) timer = setTimeout(check, CHECK_MS);
-    else onSilent();
+    const remainingMs = allowedMs - (nowMs() - lastBytesAtMs);
+    if (remainingMs > 0) timer = setTimeout(check, remainingMs);
+    else if (standstill.catchUp() !== null) timer = setTimeout(check, RECHECK_INTERVAL_MS);
+    else if (!pulse.isSilent(target, TARGET_INACTIVITY_MS))
+      timer = setTimeout(check, RECHECK_INTERVAL_MS);
+    else onUnresponsive();
   }
 
   return {
     noteBytes: () => {
-      heardAtMs = nowMs();
+      lastBytesAtMs = nowMs();
     },
     stop: () => {
       clearTimeout(timer);
--- a/packages/daemon/src/gateway/target-health.ts
+++ b/packages/daemon/src/gateway/target-health.ts
@@ -1,7 +1,7 @@
 /**
- * Which target of a plain service takes the next request: among those that answer, the one with
- * the fewest of this gateway's requests, rather in its own failure domain. Health is judged by own
- * answers alone; no probe is sent.
+ * Chooses the target of a plain service for the next request: the healthy target with the fewest
+ * requests in flight from this gateway, with a preference for its own failure domain. Health is
+ * derived only from the answers to this gateway's requests; no probes are sent.
  */
 import {
   DEFAULT_OUTLIER_OPTIONS,
@@ -18,19 +18,20 @@
 } from '@cassiamast/coordination';
 
 /**
- * A gateway sends a small service a few requests a second: two failures in a row are a second's
- * evidence, and a target that recovered is wanted back soon.
+ * A gateway sends only a few requests per second to a small service, so two consecutive failures
+ * are the evidence of about one second. The ejection is short so that a recovered target is used
+ * again soon.
  */
 const FAILURES_IN_A_ROW = 2;
 const EJECTION_MS = 1500;
-/** One of three targets may stay in when the others fail. */
+/** Of three targets, one remains in use when the others fail. */
 const MAX_EJECTED_SHARE = 0.67;
-/** Requests more that a target of the own failure domain may have. */
+/** Cost of a target in another failure domain, in additional requests in flight. */
 const OWN_DOMAIN_ADVANTAGE = 0.5;
 
-/** Chooses targets and learns from what they answer. */
+/** Chooses targets and tracks their health. */
 export interface TargetHealth {
-  /** The target for the next request, null where there is none beside those that were tried. */
+  /** Returns the target for the next request, or null if every target has been tried. */
   readonly choose: (service: string, tried: ReadonlySet<string>) => TargetEntry | null;
   readonly noteSent: (target: TargetEntry) => void;
   readonly noteDone: (target: TargetEntry) => void;
@@ -38,7 +39,7 @@
   readonly noteBad: (target: TargetEntry) => void;
 }
 
-/** Makes the health of all plain targets as this gateway sees it. */
+/** Creates the health tracking of all plain targets. */
 export function createTargetHealth(
   view: FleetView,
   failureDomain: string,
@@ -49,17 +50,17 @@
   const inFlight = new Map<string, number>();
 
   function outliersOf(service: string): Outliers {
-    const known = outliersByService.get(service);
-    if (known !== undefined) return known;
-    const made = createOutliers({
+    const existing = outliersByService.get(service);
+    if (existing !== undefined) return existing;
+    const created = createOutliers({
       ...DEFAULT_OUTLIER_OPTIONS,
       service,
       failuresInARow: FAILURES_IN_A_ROW,
       baseEjectionMs: EJECTION_MS,
       maxEjectedShare: MAX_EJECTED_SHARE,
     });
-    outliersByService.set(service, made);
-    return made;
+    outliersByService.set(service, created);
+    return created;
   }
 
   function costOf(target: TargetEntry): number {
@@ -67,8 +68,8 @@
     return (inFlight.get(target.id) ?? 0) + (isNear ? 0 : OWN_DOMAIN_ADVANTAGE) + random() / 10;
   }
 
-  function add(target: TargetEntry, by: number): void {
-    const count = (inFlight.get(target.id) ?? 0) + by;
+  function adjustInFlight(target: TargetEntry, change: number): void {
+    const count = (inFlight.get(target.id) ?? 0) + change;
     if (count <= 0) inFlight.delete(target.id);
     else inFlight.set(target.id, count);
   }
@@ -85,7 +86,7 @@
       );
       const excluded = excludedTargets(outliers, nowMs(), random);
       const healthy = entries.filter((entry) => !excluded.has(entry.id));
-      // Where all are suspects, a suspect is a better bet than a refusal.
+      // If all targets are ejected, trying one of them is better than refusing the request.
       const candidates = healthy.length > 0 ? healthy : entries;
       return candidates.reduce<TargetEntry | null>(
         (best, entry) => (best === null || costOf(entry) < costOf(best) ? entry : best),
@@ -93,10 +94,10 @@
       );
     },
     noteSent: (target) => {
-      add(target, 1);
+      adjustInFlight(target, 1);
     },
     noteDone: (target) => {
-      add(target, -1);
+      adjustInFlight(target, -1);
     },
     noteGood: (target) => {
       noteAnswer(outliersOf(target.service), target.id, 1, nowMs());
--- a/packages/daemon/src/gateway/target-limits.ts
+++ b/packages/daemon/src/gateway/target-limits.ts
@@ -1,8 +1,9 @@
 /**
- * Keeps the rate limits that targets name, together with all other gateways. What a gateway hears is
- * told to the one that decides for the service, which asks all others for their shares and tells
- * them the limits along; a request to a plain target asks whoever has this gateway's share for a
- * permit. The decisions stand in the library's rate limits.
+ * Enforces the rate limits that targets announce, shared between all gateways. A gateway reports
+ * each limit that it learns to the deciding gateway of the service, which borrows the shares of all
+ * others and passes the limits on to them. For a request to a plain target, a gateway asks the
+ * borrower of its share for a permit. The rules are implemented by the rate limiter of the
+ * coordination library.
  */
 import {
   type AnsweringTarget,
@@ -34,135 +35,144 @@
 import type { GatewayCount } from './gateway-count.js';
 import type { GatewayLog } from './gateway-log.js';
 
-/** How often shares are borrowed anew: some times within a loan. */
-const RENEW_MS = 400;
-/** A gateway that answers later has lent nothing that is worth having. */
+/** Interval at which shares are borrowed again, several times within the duration of a loan. */
+const RENEW_INTERVAL_MS = 400;
+/** Timeout for borrowing a share; a loan that arrives later is of little use. */
 const LEND_TIMEOUT_MS = 400;
-/** How long a request waits for a permit, before it goes to another target. */
+/** How long a request waits for a permit before it is sent to another target. */
 const TAKE_TIMEOUT_MS = 150;
-/** How long a target is passed over whose permits could not be asked for. */
-const UNREACHED_MS = 300;
-/** Longer than any wait for a permit that is worth telling; also stands for no permit at all. */
+/** How long a target is skipped after a request for a permit has failed. */
+const UNREACHABLE_PAUSE_MS = 300;
+/** Upper bound of a reported wait for a permit; also means that no permit is expected. */
 const MAX_WAIT_MS = 10_000;
 const MS_PER_S = 1000;
 
-/** A gateway lends its share, and tells what it has heard. */
+/** The share that a gateway lends, with the limits that it knows. */
 export interface LentShare {
-  /** 0 where its share is lent to another gateway. */
+  /** 0 if the share is already lent to another gateway. */
   readonly fraction: number;
   readonly reports: readonly LimitReport[];
 }
 
-/** What the limits need. */
+/** Dependencies of the target limits. */
 export interface TargetLimitsOptions {
   readonly selfId: string;
   readonly view: FleetView;
   readonly gateways: GatewayCount;
   readonly rpc: RpcClient;
-  /** The gateway that decides for a service, as far as this one knows. */
+  /** Returns the gateway that decides for a service, according to this gateway's view. */
   readonly schedulerOf: (service: string) => string;
-  /** Counts suspended time as well: a loan must not outlive it. */
+  /** A clock that includes suspended time, so that a loan expires while the VM is suspended. */
   readonly elapsedMs: () => number;
   readonly random: Random;
   readonly log: GatewayLog;
   readonly count: (name: string) => void;
-  /** Sets gauges that differ by target. */
+  /** Sets a gauge with one value per target. */
   readonly gauge: (name: string, valueByTarget: ReadonlyMap<string, number>) => void;
 }
 
-/** The limits as one gateway keeps them. */
+/** The rate limits of targets, as enforced by one gateway. */
 export interface TargetLimits {
   readonly child: Child;
-  /** Permits as far as this gateway decides. */
+  /** Permits within the shares that this gateway holds. */
   readonly permits: Permits;
-  /** A target answered; `sentAtMs` is a reading of `elapsedMs`. */
+  /** Records the answer of a target; `sentAtMs` is a time of the `elapsedMs` clock. */
   readonly noteAnswer: (
     target: AnsweringTarget,
     perS: number | null,
     answer: Omit<TargetAnswer, 'origin'>,
   ) => void;
-  /** Takes a permit for a request of this gateway's own; gives 0, or milliseconds until there may be one. */
+  /**
+   * Takes a permit for a request of this gateway. Returns 0, or the ms until one may be available.
+   */
   readonly take: (target: AnsweringTarget) => Promise<number>;
-  /** From now on this gateway counts no more among those that share the limits. */
+  /**
+   * Gives up this gateway's shares of all limits; it then requests its permits from other gateways.
+   */
   readonly leave: () => void;
-  /** When a caller may come back, from the waits for permits of all targets that could take it. */
+  /** Returns when a refused caller may retry, given the permit waits of all eligible targets. */
   readonly askBackInMs: (waitMsByTarget: ReadonlyMap<string, number>) => number;
   /** Sets the gauges. */
   readonly measure: () => void;
-  /** Another gateway, which decides for a service, asks for this one's share. */
+  /** Handles the call of a deciding gateway that borrows this gateway's share. */
   readonly onBorrow: (
     service: string,
     borrower: string,
     reports: readonly LimitReport[],
   ) => LentShare;
-  /** Another gateway tells what it heard. */
+  /** Handles limits reported by another gateway. */
   readonly onTold: (reports: readonly LimitReport[], from: string) => void;
-  /** Another gateway, which has lent its share, asks for a permit. */
+  /** Handles a permit request of a gateway that has lent its share. */
   readonly onTake: (target: string, reports: readonly LimitReport[], from: string) => number;
 }
 
-/** Makes the limits of a gateway that has heard of none. */
+/** Creates target limits without any known limit. */
 export function createTargetLimits(options: TargetLimitsOptions): TargetLimits {
   const { selfId, view, gateways, rpc, schedulerOf, elapsedMs, log, count, gauge } = options;
   const limiter = createRateLimiter(options.random, elapsedMs());
   const { limits, shares } = limiter;
   const permits = permitsOf(limiter, gateways.count, elapsedMs);
-  /** Until when no permit is asked for, by target. */
-  const emptyUntilMs = new Map<string, number>();
-  let answers = 0;
+  /** The time until which no permit is requested, by target. */
+  const noPermitUntilMs = new Map<string, number>();
+  let answerCount = 0;
   let isLeaving = false;
 
-  function noteAnswer(...[target, perS, said]: Parameters<TargetLimits['noteAnswer']>): void {
+  function noteAnswer(
+    ...[target, perS, targetAnswer]: Parameters<TargetLimits['noteAnswer']>
+  ): void {
     if (perS === null && limits.size === 0) return;
     const now = elapsedMs();
-    answers += 1;
-    const answer = { ...said, origin: `${selfId}/${String(answers)}` };
-    const isNews =
+    answerCount += 1;
+    const answer = { ...targetAnswer, origin: `${selfId}/${String(answerCount)}` };
+    const hasChanged =
       perS === null
         ? noteLimitMissing(limits, target, answer, now)
         : noteLimitNamed(limits, target, perS, answer, now);
-    if (isNews) tellNews([target.id], target.service, selfId);
+    if (hasChanged) announceLimits([target.id], target.service, selfId);
   }
 
-  function merge(reports: readonly LimitReport[], from: string): void {
+  function mergeReports(reports: readonly LimitReport[], from: string): void {
     const [first] = reports;
     if (first === undefined) return;
-    const news = mergeLimits(limits, reports, elapsedMs());
-    if (news.length > 0) tellNews(news, first.service, from);
+    const changedTargets = mergeLimits(limits, reports, elapsedMs());
+    if (changedTargets.length > 0) announceLimits(changedTargets, first.service, from);
   }
 
-  function tellNews(targets: readonly string[], service: string, from: string): void {
+  function announceLimits(targets: readonly string[], service: string, from: string): void {
     for (const target of targets) {
       const limit = limitOf(limits, target, elapsedMs());
-      emptyUntilMs.delete(target);
+      noPermitUntilMs.delete(target);
       if (limit === null)
         log.info('rate limit ended', { target, service, from, reason: 'not named' });
       else log.info('rate limit named', { target, service, from, limitPerS: limit.perS });
     }
-    share(service, from);
+    syncWithDecider(service, from);
   }
 
-  /** Has the gateway that decides know the limits, and have the shares. */
-  function share(service: string, from: string): void {
+  /** Reports the limits to the deciding gateway, or borrows the shares if that is this gateway. */
+  function syncWithDecider(service: string, from: string): void {
     const decider = schedulerOf(service);
-    if (decider === selfId) void borrow(service);
-    else if (decider !== from) void tell(decider, service);
+    if (decider === selfId) void borrowShares(service);
+    else if (decider !== from) void reportLimits(decider, service);
   }
 
-  async function tell(decider: string, service: string): Promise<void> {
-    const told = await rpc.call(decider, RpcMethod.LimitsTell, [reportsOf(service), selfId], {
+  async function reportLimits(decider: string, service: string): Promise<void> {
+    const reported = await rpc.call(decider, RpcMethod.LimitsTell, [reportsOf(service), selfId], {
       timeoutMs: LEND_TIMEOUT_MS,
     });
-    if (told.isErr()) count('limit_reports_lost_total');
+    if (reported.isErr()) count('limit_reports_lost_total');
   }
 
-  async function borrow(service: string): Promise<void> {
-    const others = [...view.gateways.keys()].filter((id) => id !== selfId);
-    const before = shareHere(service);
-    await Promise.all(others.map((id) => borrowFrom(id, service)));
-    const now = shareHere(service);
-    if (Math.round(before * others.length) === Math.round(now * others.length)) return;
-    log.info('share of rate limits', { service, share: now, gateways: gateways.count() });
+  async function borrowShares(service: string): Promise<void> {
+    const otherGateways = [...view.gateways.keys()].filter((id) => id !== selfId);
+    const shareBefore = ownShare(service);
+    await Promise.all(otherGateways.map((id) => borrowFrom(id, service)));
+    const shareNow = ownShare(service);
+    if (
+      Math.round(shareBefore * otherGateways.length) === Math.round(shareNow * otherGateways.length)
+    )
+      return;
+    log.info('share of rate limits', { service, share: shareNow, gateways: gateways.count() });
   }
 
   async function borrowFrom(gateway: string, service: string): Promise<void> {
@@ -176,7 +186,7 @@
     lent.match(
       ({ fraction, reports }) => {
         noteBorrowed(shares, service, gateway, fraction, askedAtMs);
-        merge(reports, gateway);
+        mergeReports(reports, gateway);
       },
       () => {
         count('limit_shares_unreached_total');
@@ -184,7 +194,7 @@
     );
   }
 
-  function shareHere(service: string): number {
+  function ownShare(service: string): number {
     return usableShare(shares, service, gateways.count(), elapsedMs());
   }
 
@@ -196,38 +206,41 @@
     const now = elapsedMs();
     gateways.refresh();
     for (const target of dropOldLimits(limits, now)) {
-      emptyUntilMs.delete(target);
+      noPermitUntilMs.delete(target);
       limiter.buckets.delete(target);
       log.info('rate limit ended', { target, reason: 'not heard of' });
     }
-    for (const [target, untilMs] of emptyUntilMs) {
-      if (untilMs <= now) emptyUntilMs.delete(target);
+    for (const [target, untilMs] of noPermitUntilMs) {
+      if (untilMs <= now) noPermitUntilMs.delete(target);
     }
     for (const service of servicesWithLimits(limits, now)) {
       const decider = schedulerOf(service);
       const hasShare = borrowerOf(shares, service, now) === decider;
-      if (decider === selfId || !hasShare) share(service, selfId);
+      if (decider === selfId || !hasShare) syncWithDecider(service, selfId);
     }
   }
 
   async function take(target: AnsweringTarget): Promise<number> {
     const now = elapsedMs();
     if (limitOf(limits, target.id, now) === null) return 0;
-    const waitMs = (emptyUntilMs.get(target.id) ?? 0) - now;
+    const waitMs = (noPermitUntilMs.get(target.id) ?? 0) - now;
     if (waitMs > 0) return waitMs;
-    const holder = holderOf(target.service, now);
-    if (holder === selfId) return takeHere(target.id);
-    const foundMs = await ask(holder, target);
-    if (foundMs > 0) emptyUntilMs.set(target.id, elapsedMs() + foundMs);
-    return foundMs;
+    const permitSource = permitSourceOf(target.service, now);
+    if (permitSource === selfId) return takeLocalPermit(target.id);
+    const permitWaitMs = await requestPermit(permitSource, target);
+    if (permitWaitMs > 0) noPermitUntilMs.set(target.id, elapsedMs() + permitWaitMs);
+    return permitWaitMs;
   }
 
-  /** The gateway that gives out this one's permits. */
-  function holderOf(service: string, nowMs: number): string {
+  /** Returns the gateway that grants permits for this gateway's requests. */
+  function permitSourceOf(service: string, nowMs: number): string {
     return borrowerOf(shares, service, nowMs) ?? (isLeaving ? schedulerOf(service) : selfId);
   }
 
-  async function ask(borrower: string, { id, service }: AnsweringTarget): Promise<number> {
+  async function requestPermit(
+    borrower: string,
+    { id, service }: AnsweringTarget,
+  ): Promise<number> {
     const answer = await rpc.call<number>(
       borrower,
       RpcMethod.LimitsTake,
@@ -235,10 +248,10 @@
       { timeoutMs: TAKE_TIMEOUT_MS },
     );
     if (answer.isErr()) count('limit_permits_unreached_total');
-    return answer.unwrapOr(UNREACHED_MS);
+    return answer.unwrapOr(UNREACHABLE_PAUSE_MS);
   }
 
-  function takeHere(target: string): number {
+  function takeLocalPermit(target: string): number {
     const waitMs = Math.min(MAX_WAIT_MS, permits.availableInMs(target));
     if (waitMs === 0) permits.take(target);
     return waitMs;
@@ -248,21 +261,21 @@
     const now = elapsedMs();
     const limitsPerS = new Map<string, number>();
     const agesS = new Map<string, number>();
-    const sharesHere = new Map<string, number>();
+    const ownShares = new Map<string, number>();
     for (const target of limits.keys()) {
       const limit = limitOf(limits, target, now);
       if (limit === null) continue;
       limitsPerS.set(target, limit.perS);
       agesS.set(target, (now - limit.sinceMs) / MS_PER_S);
-      sharesHere.set(target, shareHere(limit.service));
+      ownShares.set(target, ownShare(limit.service));
     }
     gauge('target_limit_per_s', limitsPerS);
     gauge('target_limit_age_s', agesS);
-    gauge('target_limit_share', sharesHere);
+    gauge('target_limit_share', ownShares);
   }
 
   return {
-    child: createPeriodic('target-limits', () => RENEW_MS, renew),
+    child: createPeriodic('target-limits', () => RENEW_INTERVAL_MS, renew),
     permits,
     noteAnswer,
     leave: () => {
@@ -279,18 +292,18 @@
       ),
     measure,
     onBorrow: (service, borrower, reports) => {
-      merge(reports, borrower);
+      mergeReports(reports, borrower);
       const now = elapsedMs();
       const isDecider = schedulerOf(service) === borrower;
       const fraction = isDecider ? lendShare(shares, service, borrower, gateways.count(), now) : 0;
       return { fraction, reports: reportsOf(service) };
     },
     onTold: (reports, from) => {
-      merge(reports, from);
+      mergeReports(reports, from);
     },
     onTake: (target, reports, from) => {
-      merge(reports, from);
-      return takeHere(target);
+      mergeReports(reports, from);
+      return takeLocalPermit(target);
     },
   };
 }
--- a/packages/daemon/src/gateway/target-pulse.ts
+++ b/packages/daemon/src/gateway/target-pulse.ts
@@ -1,28 +1,29 @@
 /**
- * When each target was last heard of by this gateway: any byte of any answer. A target that went dark
- * keeps its connections, and nothing else than its silence tells.
+ * Tracks when this gateway last received any byte from each target. The connections of a failed VM
+ * stay open, so inactivity is the only sign of its failure.
  */
 
-/** Hears targets. */
+/** Records the activity of targets. */
 export interface TargetPulse {
   readonly heard: (target: string) => void;
-  /** Whether nothing was heard of a target for so long. */
+  /** Whether nothing has been received from a target for `forMs`. */
   readonly isSilent: (target: string, forMs: number) => boolean;
 }
 
-/** Targets that are remembered; far more than a gateway sends to in a minute. */
+/** Maximum number of tracked targets, far more than a gateway sends requests to in a minute. */
 const MAX_TARGETS = 1024;
 
-/** Makes a pulse that has heard nobody. */
+/** Creates the tracking without any recorded activity. */
 export function createTargetPulse(nowMs: () => number): TargetPulse {
-  const heardAtMs = new Map<string, number>();
+  const lastReceivedAtMs = new Map<string, number>();
   return {
     heard: (target) => {
-      heardAtMs.delete(target);
-      heardAtMs.set(target, nowMs());
-      const oldest = heardAtMs.keys().next().value;
-      if (heardAtMs.size > MAX_TARGETS && oldest !== undefined) heardAtMs.delete(oldest);
+      lastReceivedAtMs.delete(target);
+      lastReceivedAtMs.set(target, nowMs());
+      const oldest = lastReceivedAtMs.keys().next().value;
+      if (lastReceivedAtMs.size > MAX_TARGETS && oldest !== undefined)
+        lastReceivedAtMs.delete(oldest);
     },
-    isSilent: (target, forMs) => nowMs() - (heardAtMs.get(target) ?? -Infinity) >= forMs,
+    isSilent: (target, forMs) => nowMs() - (lastReceivedAtMs.get(target) ?? -Infinity) >= forMs,
   };
 }
--- a/packages/daemon/test/gateway/counted-fleet.test.ts
+++ b/packages/daemon/test/gateway/counted-fleet.test.ts
@@ -1,4 +1,4 @@
-/** Counters of a gateway's calls to the platform's store. */
+/** Tests the counters of a gateway's calls to the platform's store. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { Failure } from '@cassiamast/coordination';
@@ -13,7 +13,7 @@
   detail: 'cut off',
 });
 
-/** A store that lists and grants leases, and cannot be asked for changes. */
+/** A store that answers listings and grants leases but fails calls for changes. */
 const STORE = {
   list: () => okAsync({ changes: [], faults: [], revision: 1 }),
   changesAfter: () => errAsync(UNREACHABLE),
@@ -21,7 +21,7 @@
 } as unknown as FleetPort;
 
 describe('the counters of store calls', () => {
-  it('count each kind, and what failed', async () => {
+  it('count the calls of each kind and the failures', async () => {
     const counts: Record<string, number> = {};
     const fleet = countCalls(STORE, (name) => {
       counts[name] = (counts[name] ?? 0) + 1;
@@ -38,7 +38,7 @@
     });
   });
 
-  it('leave answers and failures as they are', async () => {
+  it('pass answers and failures through unchanged', async () => {
     const fleet = countCalls(STORE, () => undefined);
     const failed = await fleet.changesAfter(1, 1500);
     assert.equal(failed._unsafeUnwrapErr(), UNREACHABLE);
--- a/packages/daemon/test/gateway/presence.test.ts
+++ b/packages/daemon/test/gateway/presence.test.ts
@@ -1,4 +1,4 @@
-/** The announcement of a gateway that is told to stop while it announces itself. */
+/** Tests a gateway that is stopped while its announcement is in progress. */
 import assert from 'node:assert/strict';
 import { beforeEach, describe, it } from 'node:test';
 import { type Failure, seededRandom } from '@cassiamast/coordination';
@@ -16,8 +16,8 @@
   detail: 'no answer',
 });
 
-/** A store that answers when the test lets it. */
-class HeldStore {
+/** A store whose answers are released by the test. */
+class ControlledStore {
   readonly calls: string[] = [];
   readonly granted = withResolvers<Result<typeof LEASE, Failure>>();
   readonly announced = withResolvers<Result<null, Failure>>();
@@ -35,12 +35,12 @@
   }
 }
 
-describe('the presence of a gateway that is told to stop', () => {
-  let store: HeldStore;
+describe('the presence of a gateway that is stopped', () => {
+  let store: ControlledStore;
   let presence: Presence;
 
   beforeEach(async () => {
-    store = new HeldStore();
+    store = new ControlledStore();
     presence = createPresence({
       fleet: store.port,
       self: { id: '10.0.0.1:7380', failureDomain: 'eros-hall', coreShare: 0.5 },
@@ -52,8 +52,9 @@
     await presence.child.start(() => undefined);
   });
 
-  // Guards against a gateway that the others take for a scheduler after it has stopped.
-  it('does not announce with a lease that comes afterwards, and gives it back', async () => {
+  // An announcement made after the stop would let other gateways choose a stopped gateway as
+  // scheduler.
+  it('revokes a lease that is granted after the stop and does not announce with it', async () => {
     store.announced.resolve(ok(null));
     await presence.withdraw();
     store.granted.resolve(ok(LEASE));
--- a/packages/daemon/test/gateway/retry-budgets.test.ts
+++ b/packages/daemon/test/gateway/retry-budgets.test.ts
@@ -1,4 +1,4 @@
-/** The retries that each gateway takes of what all of them may add together. */
+/** Tests how gateways share one retry budget. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { FleetChangeKind, applyChanges, createFleetView } from '@cassiamast/coordination';
@@ -11,8 +11,9 @@
 const OUTAGE_MS = 4_000;
 
 describe('retry budgets', () => {
-  // Guards against gateways that each use the retries of all, since all announcements have lapsed.
-  it('stay divided among gateways whose announcements have lapsed', () => {
+  // When all announcements have expired after an outage of the store, a gateway that counted only
+  // itself would use the whole budget.
+  it('stay divided among gateways whose announcements have expired', () => {
     const view = createFleetView();
     const ids = Array.from({ length: GATEWAYS }, (_, index) => `10.0.0.${String(index)}:7760`);
     const announced = ids.map((id, index) => ({
--- a/packages/daemon/test/gateway/scheduling-client.test.ts
+++ b/packages/daemon/test/gateway/scheduling-client.test.ts
@@ -1,4 +1,4 @@
-/** Questions to the gateway that schedules, which may be busy or dead, and reports to it. */
+/** Tests requests and reports to the scheduling gateway, which may be busy or unreachable. */
 import assert from 'node:assert/strict';
 import { describe, it, mock } from 'node:test';
 import {
@@ -43,7 +43,7 @@
 
 const REFUSED = { kind: DecisionKind.Refuse, jobId: JOB.id };
 
-/** A call as it went out. */
+/** A call as it was sent. */
 interface SentCall {
   readonly member: string;
   readonly method: string;
@@ -62,8 +62,9 @@
 }
 
 /**
- * A client of gateways that each take so long to answer beyond the question's wait; `unreachable`
- * are those whose VMs let no connection in, `announcedSince` those that have started again since.
+ * Creates a client of gateways. `answersAfterMs` is the time by which each exceeds the wait of a
+ * call; the VMs of `unreachable` accept no connection, and `announcedSince` have restarted since
+ * their announcement.
  */
 function clientOf(
   answersAfterMs: Readonly<Record<string, number>>,
@@ -72,7 +73,7 @@
 ): {
   readonly client: SchedulingClient;
   readonly calls: SentCall[];
-  /** Lets later calls wait for their answer until the returned function is called. */
+  /** Withholds the answers to later calls until the returned function is called. */
   readonly hold: () => () => void;
 } {
   const calls: SentCall[] = [];
@@ -116,35 +117,37 @@
 }
 
 describe('the client of a scheduler', () => {
-  // For seconds after a restart callers are late or sent away. The gateway that schedules answers
-  // 250 ms late while its code is cold; the others pass it over one after the other, each asks the
-  // next, and at last all decide for the same engines without knowing of each other.
-  it('goes on asking one that is busy', async () => {
+  // After a restart, the scheduling gateway answers 250 ms late because its code is not compiled
+  // yet. If the others skipped it, each would use the next gateway, and in the end all would
+  // schedule the same engines independently; for seconds, callers would be answered late or
+  // refused.
+  it('keeps using a scheduler that is busy', async () => {
     const { client } = clientOf({ [OLDEST]: 250 });
     const answer = await client.take('s', () => JOB, new AbortController().signal);
     assert.equal(answer?.schedulerId, OLDEST);
     assert.equal(client.schedulerOf('s'), OLDEST);
   });
 
-  // All gateways lost power and are back. The one that schedules is busy for a second with those who
-  // waited; it was passed over after 450 ms, by one gateway after the other, and two decided for the
-  // same engines for as long as the load lasted.
-  it('goes on asking one that is busy for longer, while its VM lets connections in', async () => {
+  // After a power loss of all gateways, the scheduling gateway is busy for a second with the
+  // accumulated requests. When each gateway skipped it after 450 ms, two gateways scheduled the
+  // same engines until the load ended.
+  it('keeps using a scheduler that is busy longer while its VM accepts connections', async () => {
     const { client } = clientOf({ [OLDEST]: 900 });
     const answer = await client.take('s', () => JOB, new AbortController().signal);
     assert.equal(answer?.schedulerId, OLDEST);
   });
 
-  // The same return. The store still has the announcements of the gateways' lives before: each
-  // gateway takes another one for the oldest, and several decide for the same engines.
-  describe('an announcement that no longer stands', () => {
-    it('is not asked again, and the next one is', async () => {
+  // After the same power loss, the store still contains announcements from before the restart.
+  // Gateways that see different ones choose different schedulers, and several schedule the same
+  // engines.
+  describe('an announcement that is no longer valid', () => {
+    it('makes the client use the next gateway', async () => {
       const { client } = clientOf({}, [], [OLDEST]);
       const answer = await client.take('s', () => JOB, new AbortController().signal);
       assert.equal(answer?.schedulerId, NEXT);
     });
 
-    it('is told to whoever asks because of it', () => {
+    it('is rejected by the gateway that it announced', () => {
       const { client } = clientOf({});
       assert.equal(client.noteAsked(SELF_REVISION - 1), false);
       assert.equal(client.noteAsked(SELF_REVISION), true);
@@ -152,7 +155,7 @@
     });
   });
 
-  it('passes over one that does not answer, and asks the next one', async () => {
+  it('skips a scheduler that is unreachable and uses the next one', async () => {
     const { client } = clientOf({ [OLDEST]: Infinity }, [OLDEST]);
     const answer = await client.take('s', () => JOB, new AbortController().signal);
     assert.equal(answer?.schedulerId, NEXT);
@@ -162,7 +165,7 @@
     const eventsOf = ({ method, params }: SentCall): readonly JobEvent[] =>
       (method === RpcMethod.ScheduleTake ? params[3] : params[1]) as readonly JobEvent[];
 
-    it('gathers them for a moment', () => {
+    it('are batched for a short time', () => {
       mock.timers.enable({ apis: ['setTimeout'] });
       const { client, calls } = clientOf({});
       client.report('s', OLDEST, JobEventKind.Read, 'j-1', 'i-1');
@@ -174,7 +177,7 @@
       assert.deepEqual(kinds, [[JobEventKind.Read, JobEventKind.Served]]);
     });
 
-    it('sends them along with the next question', async () => {
+    it('are sent with the next request for an engine', async () => {
       const { client, calls } = clientOf({});
       client.report('s', OLDEST, JobEventKind.Read, 'j-0', 'i-1');
       await client.take('s', () => JOB, new AbortController().signal);
@@ -188,8 +191,8 @@
       );
     });
 
-    // Guards against reports that are lost with a gateway that ends right after its last answer.
-    it('sends what waits when it settles, and waits until that has arrived', async () => {
+    // Otherwise the reports of a gateway that exits right after its last answer would be lost.
+    it('are sent when the client settles, which waits for their delivery', async () => {
       const { client, calls, hold } = clientOf({});
       const arrived = hold();
       client.report('s', OLDEST, JobEventKind.Served, 'j-1', 'i-1');
@@ -208,8 +211,9 @@
       await settling;
     });
 
-    // An engine crashed, and for a moment more is sent there: its failure waited for other reports.
-    it('sends the failure of a target at once', () => {
+    // If the report of a crashed engine waited for a batch, more work would be assigned to that
+    // engine.
+    it('are sent immediately when a target has failed', () => {
       const { client, calls } = clientOf({});
       client.report('s', OLDEST, JobEventKind.Failed, 'j-1', 'i-1');
       assert.equal(calls.length, 1);
--- a/packages/daemon/test/gateway/scheduling-wait.test.ts
+++ b/packages/daemon/test/gateway/scheduling-wait.test.ts
@@ -1,4 +1,4 @@
-/** A question for an engine whose asker's time is over. */
+/** Tests a request for an engine whose requester stops waiting. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { FleetChangeKind, applyChanges, createFleetView } from '@cassiamast/coordination';
@@ -11,23 +11,24 @@
 
 const OLDEST = '10.0.0.1:7380';
 
-describe('a question to a scheduler that is slow', () => {
-  // Guards against a waiting request that a stopping gateway cuts, though it could refuse it.
-  it('ends as soon as the time of its asker is over', async () => {
+describe('a request to a slow scheduler', () => {
+  // A gateway that shuts down must be able to refuse its waiting requests instead of cutting them
+  // off.
+  it('ends as soon as its requester stops waiting', async () => {
     const view = createFleetView();
     const gateway = { id: OLDEST, failureDomain: 'a', coreShare: 0.5 };
     applyChanges(view, [{ kind: FleetChangeKind.Gateway, revision: 1, gateway }], 1, 0);
-    let answerQuestion: () => void = () => undefined;
-    let isAsked: () => void = () => undefined;
+    let answerCall: () => void = () => undefined;
+    let noteCalled: () => void = () => undefined;
     const methods: RpcMethod[] = [];
-    const asked = new Promise<void>((resolve) => (isAsked = resolve));
+    const called = new Promise<void>((resolve) => (noteCalled = resolve));
     const rpc = {
       call: (_gateway: string, method: RpcMethod) => {
         methods.push(method);
-        isAsked();
+        noteCalled();
         return new ResultAsync(
           new Promise<Result<null, never>>((resolve) => {
-            answerQuestion = () => {
+            answerCall = () => {
               resolve(ok(null));
             };
           }),
@@ -52,20 +53,20 @@
       .then(() => {
         isOver = true;
       });
-    await asked;
+    await called;
     over.abort();
     for (let turn = 0; turn < 10; turn += 1) await new Promise((resolve) => setImmediate(resolve));
     const endedInTime = isOver;
     await client.settle();
-    const toldBefore = methods.includes(RpcMethod.ScheduleReport);
-    answerQuestion();
+    const reportedBeforeAnswer = methods.includes(RpcMethod.ScheduleReport);
+    answerCall();
     await taken;
     await waitFor(() => {
       void client.settle();
       return methods.includes(RpcMethod.ScheduleReport);
     });
     assert.equal(endedInTime, true);
-    // Guards against an engine that is granted to nobody, as the end was told before the question.
-    assert.equal(toldBefore, false);
+    // A scheduler that received the end before the request would grant an engine that nobody uses.
+    assert.equal(reportedBeforeAnswer, false);
   });
 });
--- a/packages/daemon/test/gateway/target-limits.test.ts
+++ b/packages/daemon/test/gateway/target-limits.test.ts
@@ -1,4 +1,6 @@
-/** Gateways that tell each other the limits that targets name, and lend each other their shares. */
+/**
+ * Tests how gateways share the rate limits that targets announce and lend each other their shares.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import {
@@ -23,7 +25,7 @@
 const TARGET = { id: 't', service: 's' };
 const LIMIT_PER_S = 8;
 
-/** Gateways that call each other in one process, and whose clock is turned by hand. */
+/** Gateways that call each other within one process, with a clock that the test sets. */
 interface Fleet {
   readonly view: FleetView;
   readonly gateways: Map<string, TargetLimits>;
@@ -94,16 +96,16 @@
   return gateway;
 }
 
-/** A gateway hears the limit; resolves when the others have been told. */
-async function hear(fleet: Fleet, id: string, perS: number | null): Promise<void> {
+/** Lets a gateway learn a limit. Resolves when it has been reported to the others. */
+async function learnLimit(fleet: Fleet, id: string, perS: number | null): Promise<void> {
   const sentAtMs = fleet.nowMs + 1;
   fleet.nowMs += 2;
   gatewayOf(fleet, id).noteAnswer(TARGET, perS, { work: AskedWork.Run, sentAtMs });
   await new Promise((resolve) => setImmediate(resolve));
 }
 
-/** Permits that a gateway gets in two seconds of asking. */
-async function taken(fleet: Fleet, id: string): Promise<number> {
+/** Counts the permits that a gateway gets in two seconds. */
+async function countPermits(fleet: Fleet, id: string): Promise<number> {
   let count = 0;
   for (let turn = 0; turn < 200; turn += 1) {
     fleet.nowMs += 10;
@@ -113,17 +115,17 @@
 }
 
 describe('the limits of targets', () => {
-  it('are known to all gateways when one has heard of them', async () => {
+  it('are known to all gateways when one has learned them', async () => {
     const fleet = startFleet();
-    await hear(fleet, 'c', LIMIT_PER_S);
+    await learnLimit(fleet, 'c', LIMIT_PER_S);
     for (const id of IDS) assert.ok(fleet.logged.includes(`${id}: rate limit named`), id);
-    await hear(fleet, 'c', null);
+    await learnLimit(fleet, 'c', null);
     for (const id of IDS) assert.ok(fleet.logged.includes(`${id}: rate limit ended`), id);
   });
 
-  it('are measured with their age, and the share that is here', async () => {
+  it('are exported as gauges with their age and the own share', async () => {
     const fleet = startFleet();
-    await hear(fleet, 'c', LIMIT_PER_S);
+    await learnLimit(fleet, 'c', LIMIT_PER_S);
     fleet.nowMs += 500;
     gatewayOf(fleet, DECIDER).measure();
     assert.equal(fleet.gauges.get('a/target_limit_per_s')?.get(TARGET.id), LIMIT_PER_S);
@@ -131,45 +133,46 @@
     assert.equal(fleet.gauges.get('a/target_limit_share')?.get(TARGET.id), 1);
   });
 
-  // Guards against a limit of which one gateway's callers get only that gateway's part.
-  it('are used by one gateway alone where the others have no use for them', async () => {
+  // Otherwise the callers of one gateway would get only that gateway's part of an unused limit.
+  it('can be used entirely by one gateway while the others do not need them', async () => {
     const fleet = startFleet();
-    await hear(fleet, 'c', LIMIT_PER_S);
+    await learnLimit(fleet, 'c', LIMIT_PER_S);
     fleet.nowMs += 1;
-    assert.ok((await taken(fleet, 'c')) >= LIMIT_PER_S);
+    assert.ok((await countPermits(fleet, 'c')) >= LIMIT_PER_S);
   });
 
-  // Guards against gateways that each use all of a limit when the announcements of all have lapsed.
-  it('stay divided among gateways whose announcements have lapsed', async () => {
+  // A gateway that counted only itself after all announcements have expired would use the whole
+  // limit.
+  it('stay divided among gateways whose announcements have expired', async () => {
     const fleet = startFleet();
     await gatewayOf(fleet, 'c').child.start(() => undefined);
     await gatewayOf(fleet, 'c').child.stop();
     for (const id of IDS) fleet.away.add(id);
     fleet.view.gateways.clear();
-    await hear(fleet, 'c', LIMIT_PER_S);
+    await learnLimit(fleet, 'c', LIMIT_PER_S);
     fleet.nowMs += LOAN_MS;
     const ownPart = (2 * LIMIT_PER_S) / IDS.length;
-    assert.ok((await taken(fleet, 'c')) <= ownPart + 1);
+    assert.ok((await countPermits(fleet, 'c')) <= ownPart + 1);
   });
 
-  it('give a gateway that leaves permits of the one that decides', async () => {
+  it('provide a leaving gateway with permits of the deciding gateway', async () => {
     const fleet = startFleet();
-    await hear(fleet, 'c', LIMIT_PER_S);
+    await learnLimit(fleet, 'c', LIMIT_PER_S);
     gatewayOf(fleet, 'c').leave();
     fleet.nowMs += LOAN_MS;
-    await hear(fleet, 'b', LIMIT_PER_S);
-    assert.ok((await taken(fleet, 'c')) > 0);
+    await learnLimit(fleet, 'b', LIMIT_PER_S);
+    assert.ok((await countPermits(fleet, 'c')) > 0);
     gatewayOf(fleet, 'c').measure();
     assert.equal(fleet.gauges.get('c/target_limit_share')?.get(TARGET.id), 0);
   });
 
-  // Guards against a gateway that stops, or goes on without bounds, when it loses the one that decides.
-  it('leave a gateway its own share when it can reach no other', async () => {
+  // A gateway that loses contact with the deciding gateway must neither stop nor exceed the limit.
+  it('leave a gateway its own share when it cannot reach the deciding gateway', async () => {
     const fleet = startFleet();
-    await hear(fleet, 'c', LIMIT_PER_S);
+    await learnLimit(fleet, 'c', LIMIT_PER_S);
     fleet.away.add(DECIDER);
     fleet.nowMs += LOAN_MS;
-    const count = await taken(fleet, 'c');
+    const count = await countPermits(fleet, 'c');
     const ownPart = (2 * LIMIT_PER_S) / IDS.length;
     assert.ok(count >= ownPart - 1 && count <= ownPart + 1, String(count));
   });
