--- a/packages/daemon/src/entry/authenticate.ts
+++ b/packages/daemon/src/entry/authenticate.ts
@@ -1,15 +1,15 @@
-/** Finds the workspace of a caller by its API key. */
+/** Authenticates callers: maps the API key of a request to its workspace. */
 import { createHash } from 'node:crypto';
 import type { WorkspaceSpec } from '@cassiamast/coordination';
 
 const BEARER = /^Bearer\s+(\S{1,512})$/i;
 
-/** Finds the workspace of an Authorization header, or null. */
+/** Returns the workspace that an Authorization header belongs to, or null. */
 export type Authenticate = (authorization: string | undefined) => WorkspaceSpec | null;
 
 /**
- * Indexes the workspaces' key digests. Only digests are known here: neither the configuration nor
- * a memory dump of an entry gives a key away.
+ * Creates a lookup over the SHA-256 digests of the workspaces' API keys. Only digests are stored,
+ * so neither the configuration nor a memory dump of an entry reveals a key.
  */
 export function createAuthenticate(workspaces: readonly WorkspaceSpec[]): Authenticate {
   const byDigest = new Map<string, WorkspaceSpec>();
--- a/packages/daemon/src/entry/caller-answer.ts
+++ b/packages/daemon/src/entry/caller-answer.ts
@@ -1,6 +1,7 @@
 /**
- * Writes one answer to one caller: as a stream of events, as one body, or as a plain service's
- * response. What may be written, and when, the request machine decides; here it takes its form.
+ * Writes one answer to one caller: as a server-sent event stream, as a single body, or as the
+ * response of a plain service. The request state machine decides what is written and when; this
+ * module only formats it.
  */
 import type { ServerResponse } from 'node:http';
 import type { AnswerEnding } from '@cassiamast/coordination';
@@ -17,29 +18,29 @@
 } from './openai-answer.js';
 import { sendProblem, toProblem } from './problem.js';
 
-/** The writing side of one answer. */
+/** Writes one answer to its caller. */
 export interface CallerAnswer {
-  /** Takes the next tokens; false asks to wait for `onDrain`. */
+  /** Writes the next tokens; returns false when the caller should wait for `onDrain`. */
   readonly tokens: (tokens: readonly string[], eventId: string) => boolean;
   readonly finish: (ending: AnswerEnding, outputTokens: number, eventId: string) => void;
-  /** Tells the failure: as a problem, or as the last event when the answer has begun. */
+  /** Reports a failure: as a problem response, or as the last event of a stream that has begun. */
   readonly refuse: (refusal: Refusal) => void;
 }
 
-/** What every answer is written with. */
+/** Options that all kinds of answer share. */
 export interface AnswerOptions {
   readonly response: ServerResponse;
   readonly headers: Readonly<Record<string, string>>;
 }
 
-/** What a model's answer is written with. */
+/** Options of a model's answer. */
 export interface ModelAnswerOptions extends AnswerOptions {
   readonly head: AnswerHead;
   readonly includeUsage: boolean;
   readonly onDrain: () => void;
 }
 
-/** Streams a model's answer. */
+/** Writes a model's answer as a server-sent event stream. */
 export function streamedAnswer(options: ModelAnswerOptions): CallerAnswer {
   const { response, head, headers } = options;
   let stream: EventStreamWriter | null = null;
@@ -51,9 +52,9 @@
   }
 
   function writeChunk(text: string, reason: FinishReason | null, id: string): boolean {
-    const goOn = open().write({ id, data: chunkData(head, text, isFirst, reason) });
+    const mayContinue = open().write({ id, data: chunkData(head, text, isFirst, reason) });
     isFirst = false;
-    return goOn;
+    return mayContinue;
   }
 
   return {
@@ -77,7 +78,7 @@
   };
 }
 
-/** Writes a model's answer in one body. */
+/** Buffers a model's answer and writes it as a single body. */
 export function wholeAnswer(options: ModelAnswerOptions): CallerAnswer {
   const { response, head, headers } = options;
   const texts: string[] = [];
@@ -103,7 +104,7 @@
   };
 }
 
-/** Relays a plain service's response. */
+/** Relays the response of a plain service. */
 export function plainAnswer(options: AnswerOptions): CallerAnswer {
   const { response, headers } = options;
   return {
--- a/packages/daemon/src/entry/caller-request.ts
+++ b/packages/daemon/src/entry/caller-request.ts
@@ -1,9 +1,9 @@
 /**
- * A caller's request in the product's own terms, whatever interface it came through.
+ * A caller's request in a form that does not depend on the API through which it arrived.
  */
 import type { RequestKey, ResumePoint } from '@cassiamast/coordination';
 
-/** Which interface the answer must be written in. */
+/** The API format in which the answer is written. */
 export enum AnswerFormat {
   Completion = 'completion',
   Chat = 'chat',
@@ -12,11 +12,11 @@
 /** A request to a model engine. */
 export interface ModelRequest {
   readonly key: RequestKey;
-  /** Whether the caller chose the key: without one, a resend is a new request. */
+  /** Whether the caller sent the idempotency key. Without one, a retry is a new request. */
   readonly keyFromCaller: boolean;
   readonly service: string;
   readonly format: AnswerFormat;
-  /** As the caller wrote it; written back into answers. */
+  /** The model name as the caller wrote it; repeated in the answer. */
   readonly modelText: string;
   readonly model: string;
   readonly adapter: string | null;
@@ -29,8 +29,8 @@
   /** 0 (lowest) to 7 (highest). */
   readonly priority: number;
   readonly timeoutMs: number;
-  /** Hash of what is asked, without the key: recognises a request by its content. */
+  /** Hash of the request's content without its key; identifies requests with equal content. */
   readonly contentHash: string;
-  /** Where a returning caller goes on: the last event that it read. */
+  /** The last event that a reconnecting caller received; the answer resumes after it. */
   readonly resumeFrom: ResumePoint | null;
 }
--- a/packages/daemon/src/entry/caller-server.ts
+++ b/packages/daemon/src/entry/caller-server.ts
@@ -1,7 +1,7 @@
 /**
- * The callers' port: the OpenAI-compatible completions and chat completions, plain services by
- * path, the list of models and the balancer's health check. Every input is bounded in size and
- * time; a slow reader is held by back-pressure, a slow sender by the request timeout.
+ * The HTTP server for callers: OpenAI-compatible completions and chat completions, plain services
+ * by path, the list of models, and the load balancer's health check. Every input is bounded in size
+ * and time: slow readers are subject to backpressure, slow senders to the request timeout.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Address, Configuration, WorkspaceSpec } from '@cassiamast/coordination';
@@ -26,85 +26,88 @@
 import { parseModelRequest } from './model-request.js';
 import { parsePlainCall, type PlainCall, PLAIN_PATH_PREFIX } from './plain-call.js';
 import { sendProblem } from './problem.js';
-import { refuseNotRun, refuseUnseen } from './refusals.js';
+import { refuseNotRun, refuseWithoutLookup } from './refusals.js';
 import { listModels } from './service-directory.js';
 
-/** A phone on a poor network still sends a large prompt within this. */
+/** Long enough for a phone on a poor network to send a large prompt. */
 const REQUEST_TIMEOUT_MS = 60_000;
 const HEADERS_TIMEOUT_MS = 15_000;
 const MAX_HEADER_BYTES = 16 * 1024;
-/** A caller that is told that the entry leaves finds another at once through the balancer. */
-const OTHER_ENTRY_RETRY_MS = 1_000;
+/** Short, because the load balancer routes the retry to another entry immediately. */
+const OTHER_ENTRY_RETRY_AFTER_MS = 1_000;
 
-/** After the drain: answers that are left go on elsewhere, for the callers that come back. */
-const CLOSE: CloseOptions = { idleMs: 100, timeoutMs: 5_000 };
+/**
+ * Applies after the drain. Answers that are still open continue at other entries for callers that
+ * reconnect.
+ */
+const CLOSE_OPTIONS: CloseOptions = { idleMs: 100, timeoutMs: 5_000 };
 
 const MODEL_PATHS: ReadonlyMap<string, AnswerFormat> = new Map([
   ['/v1/completions', AnswerFormat.Completion],
   ['/v1/chat/completions', AnswerFormat.Chat],
 ]);
 
-/** What the callers' port needs. */
+/** Options of the caller server. */
 export interface CallerServerOptions {
   readonly address: Address;
   readonly maxConnections: number;
   readonly configuration: () => Configuration | null;
   readonly authenticate: () => Authenticate;
-  /** Why no new work is taken, or null while it is. */
+  /** Why new work is rejected, or null while it is accepted. */
   readonly notServingReason: () => string | null;
-  /** Whether the balancer should send callers elsewhere, although what comes is still taken. */
+  /** Whether the load balancer should stop routing here, although requests are still accepted. */
   readonly isLeaving: () => boolean;
   readonly makeKey: () => string;
-  /** Told of a request that is refused before it is read, with its key where it brings one. */
+  /** Called when a request is rejected before its body is read, with its key if it has one. */
   readonly onTurnedAway: (idempotencyKey: string | null, reason: string) => void;
   readonly onModelRequest: (request: ModelRequest, response: ServerResponse) => void;
   readonly onPlainCall: (call: PlainCall, response: ServerResponse) => void;
 }
 
-/** What is known of an exchange once it may go on. */
+/** The context of an exchange that was authenticated and may proceed. */
 interface Admitted {
   readonly configuration: Configuration;
   readonly workspace: WorkspaceSpec;
   readonly path: string;
 }
 
-/** The callers' port. */
+/** The HTTP server for callers. */
 export interface CallerServer {
   readonly child: Child;
-  /** Requests, those that are still being read among them, whose answer was not sent as a whole. */
+  /** Number of requests whose answer is not fully sent, including those still being received. */
   readonly open: () => number;
 }
 
-/** Makes the callers' port. */
+/** Creates the HTTP server for callers. */
 export function createCallerServer(options: CallerServerOptions): CallerServer {
-  let port: GracefulServer | null = null;
+  let activeServer: GracefulServer | null = null;
 
   function start(): Promise<void> {
-    const made = createGracefulServer(
+    const gracefulServer = createGracefulServer(
       {
         requestTimeout: REQUEST_TIMEOUT_MS,
         headersTimeout: HEADERS_TIMEOUT_MS,
         maxHeaderSize: MAX_HEADER_BYTES,
       },
       (request, response) => {
-        // Guards against callers who are held to this entry by a kept connection while it leaves: it
-        // shows as callers who come back as they are told and are refused again.
-        if (options.isLeaving()) made.disableKeepAlive();
+        // Keep-alive connections would bind callers to this entry while it leaves: callers that
+        // retry as instructed would reach the same entry and be rejected again.
+        if (options.isLeaving()) gracefulServer.disableKeepAlive();
         void serve(options, request, response);
       },
     );
-    made.server.maxConnections = options.maxConnections;
-    port = made;
-    return listenExclusively(made.server, options.address);
+    gracefulServer.server.maxConnections = options.maxConnections;
+    activeServer = gracefulServer;
+    return listenExclusively(gracefulServer.server, options.address);
   }
 
   async function stop(): Promise<void> {
-    const closing = port;
-    port = null;
-    await closing?.close(CLOSE);
+    const closingServer = activeServer;
+    activeServer = null;
+    await closingServer?.close(CLOSE_OPTIONS);
   }
 
-  return { child: { name: 'caller-server', start, stop }, open: () => port?.open() ?? 0 };
+  return { child: { name: 'caller-server', start, stop }, open: () => activeServer?.open() ?? 0 };
 }
 
 async function serve(
@@ -145,7 +148,7 @@
     const failure = ENTRY_NOT_SERVING.of({ reason: reason ?? '' });
     const isKeyed = request.headers['idempotency-key'] !== undefined;
     options.onTurnedAway(readIdempotencyKey(request.headers) ?? null, failure.message);
-    sendProblem(response, refuseUnseen(failure, 503, OTHER_ENTRY_RETRY_MS, isKeyed));
+    sendProblem(response, refuseWithoutLookup(failure, 503, OTHER_ENTRY_RETRY_AFTER_MS, isKeyed));
     return null;
   }
   const workspace = options.authenticate()(request.headers.authorization);
@@ -213,8 +216,8 @@
 }
 
 function answerHealth(options: CallerServerOptions, response: ServerResponse): void {
-  const takesWork = options.configuration() !== null && options.notServingReason() === null;
-  const serving = takesWork && !options.isLeaving();
+  const acceptsWork = options.configuration() !== null && options.notServingReason() === null;
+  const serving = acceptsWork && !options.isLeaving();
   response.writeHead(serving ? 200 : 503, { 'content-type': 'text/plain' });
   response.end(serving ? 'serving\n' : 'not serving\n');
 }
--- a/packages/daemon/src/entry/claim-driver.ts
+++ b/packages/daemon/src/entry/claim-driver.ts
@@ -1,4 +1,7 @@
-/** This entry's side of claims: asks the key's aggregator, again when no answer comes. */
+/**
+ * The entry's client for claims: requests a claim from the aggregator of the key and retries when
+ * no reply arrives.
+ */
 import {
   type ClaimClientContext,
   type ClaimClientEffect,
@@ -19,27 +22,27 @@
 
 const TICK_MS = 100;
 
-/** What the driver needs. */
+/** Options of the claim driver. */
 export interface ClaimDriverOptions {
   readonly selfId: string;
   readonly nowMs: () => number;
   readonly rpc: RpcClient;
   readonly aggregatorOf: (keyText: string) => string | null;
-  /** The aggregator of this member, for keys whose aggregator it is itself. */
+  /** Takes a claim at the local aggregator, for keys that this member aggregates itself. */
   readonly takeLocally: TakeClaim;
 }
 
-/** Claims of one entry. */
+/** Takes claims for the requests of one entry. */
 export interface ClaimDriver {
   readonly child: Child;
   readonly take: (request: ClaimRequest, onReply: (reply: ClaimReply) => void) => void;
 }
 
-/** Makes the driver. */
+/** Creates the claim driver. */
 export function createClaimDriver(options: ClaimDriverOptions): ClaimDriver {
   const state = createClaimClient();
-  const waiting = new Map<string, (reply: ClaimReply) => void>();
-  let lastCall = 0;
+  const replyHandlers = new Map<string, (reply: ClaimReply) => void>();
+  let lastCallNumber = 0;
 
   const context = (): ClaimClientContext => ({
     nowMs: options.nowMs(),
@@ -51,8 +54,8 @@
     for (const effect of effects) {
       if (effect.kind === ClaimClientEffectKind.Send) void send(effect);
       else {
-        waiting.get(effect.callId)?.(effect.reply);
-        waiting.delete(effect.callId);
+        replyHandlers.get(effect.callId)?.(effect.reply);
+        replyHandlers.delete(effect.callId);
       }
     }
   }
@@ -74,9 +77,9 @@
 
   return {
     take: (request, onReply) => {
-      lastCall += 1;
-      const callId = String(lastCall);
-      waiting.set(callId, onReply);
+      lastCallNumber += 1;
+      const callId = String(lastCallNumber);
+      replyHandlers.set(callId, onReply);
       perform(askClaim(state, callId, request, context()));
     },
     child: createPeriodic(
--- a/packages/daemon/src/entry/contacts.ts
+++ b/packages/daemon/src/entry/contacts.ts
@@ -1,6 +1,6 @@
 /**
- * What this entry has seen of the members, for one question: do the holders that know nothing of a
- * key prove that no earlier submission of it ran?
+ * Tracks since when this entry has been in contact with each member. The history decides whether
+ * holders that have no record of a key prove that no earlier submission of that key ran.
  */
 import {
   type ContactHistory,
@@ -11,28 +11,28 @@
   provesAbsence,
 } from '@cassiamast/coordination';
 
-/** Members remembered, dead ones included; above the membership's own bound nobody is left out. */
+/** Members tracked, including dead ones. Exceeds the membership's own limit, so none is missing. */
 const MAX_CONTACTS = 4_096;
 
-/** What the contacts need. */
+/** Options of the contact history. */
 export interface ContactsOptions {
   readonly nowMs: () => number;
   readonly hash32: Hash32;
-  /** How long an earlier submission of a key can still matter. */
+  /** How long an earlier submission of a key stays relevant. */
   readonly horizonMs: () => number;
 }
 
-/** Contacts of one entry. */
+/** The contact history of one entry. */
 export interface Contacts {
   readonly changed: (member: Member) => void;
   readonly provesAbsence: (keyText: string, absentAt: readonly string[]) => boolean;
 }
 
-/** Starts without contacts. */
+/** Creates an empty contact history. */
 export function createContacts(options: ContactsOptions): Contacts {
   const contacts = new Map<string, ContactHistory>();
 
-  function isAway(member: Member): boolean {
+  function isOutOfContact(member: Member): boolean {
     return member.state === MemberState.Suspect || member.state === MemberState.Dead;
   }
 
@@ -45,9 +45,10 @@
         id: member.id,
         failureDomain: member.failureDomain,
         isEntry: member.kind === MemberKind.Entry,
-        // A member that was dead and is back may have lost its memory: its time begins anew.
-        seenSinceMs: known === undefined || isAway(member) ? nowMs : known.seenSinceMs,
-        lastAwayAtMs: isAway(member) ? nowMs : (known?.lastAwayAtMs ?? null),
+        // A member that is back after a failure may have lost its records, so its contact time
+        // starts again.
+        seenSinceMs: known === undefined || isOutOfContact(member) ? nowMs : known.seenSinceMs,
+        lastAwayAtMs: isOutOfContact(member) ? nowMs : (known?.lastAwayAtMs ?? null),
       });
       const oldest = contacts.keys().next().value;
       if (contacts.size > MAX_CONTACTS && oldest !== undefined) contacts.delete(oldest);
--- a/packages/daemon/src/entry/entry-figures.ts
+++ b/packages/daemon/src/entry/entry-figures.ts
@@ -1,4 +1,4 @@
-/** Counts an entry's answers per service: what operators watch and the benchmark sums up. */
+/** Counts an entry's answers per service, for the operators' monitoring and the benchmark. */
 import {
   type AnswerEnding,
   type DriveRequest,
@@ -8,9 +8,9 @@
   RunState,
 } from '@cassiamast/coordination';
 import type { Telemetry } from '../node/telemetry.js';
-import type { LatencyFigures } from './latency-watch.js';
+import type { LatencyMeasurements } from './latency-watch.js';
 
-interface ServiceFigures {
+interface ServiceCounters {
   answered: number;
   answeredWithinGoals: number;
   refusedNotRun: number;
@@ -19,11 +19,11 @@
   promptTokens: number;
 }
 
-/** The figures of one entry. */
+/** Counters of one entry. */
 export interface EntryFigures {
   readonly answered: (
     request: DriveRequest,
-    figures: LatencyFigures,
+    latency: LatencyMeasurements,
     ending: AnswerEnding,
     goals: GoalsSpec,
   ) => void;
@@ -32,14 +32,14 @@
   readonly mix: (service: string) => MixStatus;
 }
 
-/** Starts counting. */
+/** Creates counters that start at zero. */
 export function createEntryFigures(telemetry: Telemetry): EntryFigures {
-  const services = new Map<string, ServiceFigures>();
+  const services = new Map<string, ServiceCounters>();
 
-  function of(service: string): ServiceFigures {
+  function countersOf(service: string): ServiceCounters {
     const known = services.get(service);
     if (known !== undefined) return known;
-    const made: ServiceFigures = {
+    const counters: ServiceCounters = {
       answered: 0,
       answeredWithinGoals: 0,
       refusedNotRun: 0,
@@ -47,16 +47,16 @@
       outputTokens: 0,
       promptTokens: 0,
     };
-    services.set(service, made);
-    return made;
+    services.set(service, counters);
+    return counters;
   }
 
   return {
     answered: (request, latency, ending, goals) => {
-      const figures = of(request.service);
-      figures.answered += 1;
-      figures.outputTokens += ending.outputTokens;
-      figures.promptTokens += ending.promptTokens;
+      const counters = countersOf(request.service);
+      counters.answered += 1;
+      counters.outputTokens += ending.outputTokens;
+      counters.promptTokens += ending.promptTokens;
       telemetry.count('answers_total');
       if (latency.firstTokenMs !== null) telemetry.record('first_token_ms', latency.firstTokenMs);
       telemetry.record('inter_token_p95_ms', latency.interTokenP95Ms);
@@ -64,22 +64,23 @@
         (latency.firstTokenMs ?? 0) <= goals.firstTokenMs &&
         latency.interTokenP95Ms <= goals.interTokenMs;
       if (!inTime) return;
-      figures.answeredWithinGoals += 1;
+      counters.answeredWithinGoals += 1;
       telemetry.count('answers_within_goals_total');
     },
     refused: (request, runState) => {
-      const figures = of(request.service);
+      const counters = countersOf(request.service);
       const isNotRun = runState === RunState.NotRun;
-      if (isNotRun) figures.refusedNotRun += 1;
-      else figures.failed += 1;
+      if (isNotRun) counters.refusedNotRun += 1;
+      else counters.failed += 1;
       telemetry.count(isNotRun ? 'refused_not_run_total' : 'requests_failed_total');
     },
     goodput: (service) => {
-      const { answered, answeredWithinGoals, refusedNotRun, failed, outputTokens } = of(service);
+      const { answered, answeredWithinGoals, refusedNotRun, failed, outputTokens } =
+        countersOf(service);
       return { answered, answeredWithinGoals, refusedNotRun, failed, outputTokens };
     },
     mix: (service) => {
-      const { promptTokens, outputTokens } = of(service);
+      const { promptTokens, outputTokens } = countersOf(service);
       return { windowMs: 0, promptTokens, outputTokens };
     },
   };
--- a/packages/daemon/src/entry/entry-status.ts
+++ b/packages/daemon/src/entry/entry-status.ts
@@ -1,4 +1,4 @@
-/** How an entry sees each service: its targets, its planner, its figures. */
+/** Reports the status of each service as seen by this entry: targets, planner and counters. */
 import {
   type AuthorityStatus,
   type ServiceSpec,
@@ -16,7 +16,7 @@
 import type { Policies } from './policies.js';
 import type { TargetDirectory } from './target-directory.js';
 
-/** Where the view comes from. */
+/** Sources of the status report. */
 export interface EntryStatusOptions {
   readonly nowMs: () => number;
   readonly services: () => readonly ServiceSpec[];
@@ -29,7 +29,7 @@
   readonly roleChanges: (service: string) => number;
 }
 
-/** All services as this entry sees them. */
+/** Returns the status of all services as seen by this entry. */
 export function readServices(options: EntryStatusOptions): readonly ServiceStatus[] {
   return options.services().map((spec) => readService(options, spec));
 }
@@ -58,8 +58,8 @@
 }
 
 function readAuthority(options: EntryStatusOptions, service: string): AuthorityStatus {
-  const held = options.authorityOf(service);
-  return { holder: held === null ? null : options.selfId, fence: held?.fence ?? null };
+  const authority = options.authorityOf(service);
+  return { holder: authority === null ? null : options.selfId, fence: authority?.fence ?? null };
 }
 
 function readTarget(
--- a/packages/daemon/src/entry/failures.ts
+++ b/packages/daemon/src/entry/failures.ts
@@ -1,15 +1,15 @@
 /**
- * Failures that callers are told of. Each becomes an RFC 9457 problem whose `type` is its name;
- * {@link Refusal} adds the HTTP status, the true run state and when coming back can help.
+ * Failures that are reported to callers. Each becomes an RFC 9457 problem whose `type` contains its
+ * name; {@link Refusal} adds the HTTP status, whether the request ran, and when to retry.
  */
 import { type Failure, type RunState, defineFailure } from '@cassiamast/coordination';
 
-/** A failure as it is told to a caller. */
+/** A failure as it is reported to a caller. */
 export interface Refusal {
   readonly failure: Failure;
   readonly status: number;
   readonly runState: RunState;
-  /** Null where coming back with the same request can not help. */
+  /** Null when retrying the same request cannot succeed. */
   readonly retryAfterMs: number | null;
 }
 
@@ -21,7 +21,7 @@
   hint: 'Send "Authorization: Bearer <key>"; the operators list each workspace’s keys.',
 });
 
-/** The body or headers are not what the interface takes. */
+/** The body or the headers are invalid. */
 export const REQUEST_MALFORMED = defineFailure({
   name: 'request-malformed',
   title: 'The request is malformed',
@@ -29,7 +29,7 @@
   hint: 'Correct the request; nothing was run.',
 });
 
-/** The body is over the operators' limit. */
+/** The body exceeds the configured limit. */
 export const REQUEST_TOO_LARGE = defineFailure({
   name: 'request-too-large',
   title: 'The request is too large',
@@ -46,7 +46,7 @@
   hint: 'GET /v1/models lists what is served.',
 });
 
-/** The entry is shutting down or cut off. */
+/** The entry is shutting down, isolated, or has no configuration yet. */
 export const ENTRY_NOT_SERVING = defineFailure({
   name: 'entry-not-serving',
   title: 'This entry takes no new work',
@@ -54,7 +54,7 @@
   hint: 'Resend; the balancer sends it to another entry.',
 });
 
-/** The entry holds as many deliveries as it may. */
+/** The entry has reached its limit of concurrent requests. */
 export const ENTRY_BUSY = defineFailure({
   name: 'entry-busy',
   title: 'This entry is busy',
--- a/packages/daemon/src/entry/headers.ts
+++ b/packages/daemon/src/entry/headers.ts
@@ -1,6 +1,6 @@
 /**
- * The headers of the callers' interface: Idempotency-Key (IETF draft), Last-Event-ID (HTML),
- * Prefer: wait (RFC 7240) for the deadline and Priority: u (RFC 9218).
+ * Parses the request headers of the callers' API: Idempotency-Key (IETF draft), Last-Event-ID
+ * (HTML), Prefer: wait (RFC 7240) for the deadline, and Priority: u (RFC 9218).
  */
 import type { IncomingHttpHeaders } from 'node:http';
 import { type ResumePoint, parseEventId } from '@cassiamast/coordination';
@@ -12,17 +12,20 @@
 const LEAST_URGENT = 7;
 const QUOTED_STRING = /^"((?:[^"\\]|\\["\\])*)"$/;
 
-/** The idempotency key, null when absent, undefined when malformed. */
+/** Returns the idempotency key, null when absent, undefined when malformed. */
 export function readIdempotencyKey(headers: IncomingHttpHeaders): string | null | undefined {
   const header = headers['idempotency-key'];
   if (header === undefined) return null;
   if (typeof header !== 'string') return undefined;
-  // The draft has a quoted structured string; clients in use send the bare value as well.
+  // The draft specifies a quoted structured string, but some clients send the bare value.
   const text = QUOTED_STRING.exec(header)?.[1]?.replace(/\\(["\\])/g, '$1') ?? header;
   return text.length > 0 && text.length <= MAX_KEY_CHARACTERS ? text : undefined;
 }
 
-/** The place a returning caller wants to go on from; undefined when it is none of our ids. */
+/**
+ * Returns the event after which a reconnecting caller resumes, null when absent, undefined when the
+ * ID was not issued by an entry.
+ */
 export function readLastEventId(headers: IncomingHttpHeaders): ResumePoint | null | undefined {
   const header = headers['last-event-id'];
   if (header === undefined || header === '') return null;
@@ -30,14 +33,14 @@
   return parseEventId(header) ?? undefined;
 }
 
-/** The caller's deadline, bounded by the service's own. */
+/** Returns the caller's timeout, limited by the deadline of the service. */
 export function readTimeoutMs(headers: IncomingHttpHeaders, serviceDeadlineMs: number): number {
   const match = /(?:^|[,;\s])wait=(\d{1,6})/.exec(String(headers.prefer ?? ''));
   if (match === null) return serviceDeadlineMs;
   return Math.min(serviceDeadlineMs, Number(match[1]) * MS_PER_S);
 }
 
-/** Engine priority, higher is more urgent, from the caller's urgency. */
+/** Converts the caller's urgency to an engine priority, where higher is more urgent. */
 export function readPriority(headers: IncomingHttpHeaders): number {
   const match = /(?:^|[,;\s])u=([0-7])/.exec(String(headers.priority ?? ''));
   return LEAST_URGENT - (match === null ? DEFAULT_URGENCY : Number(match[1]));
--- a/packages/daemon/src/entry/latency-watch.ts
+++ b/packages/daemon/src/entry/latency-watch.ts
@@ -1,26 +1,26 @@
-/** Times one answer as its caller sees it: to the first token, and between tokens. */
+/** Measures the latency of one answer: time to first token and gaps between tokens. */
 
-/** What was measured of one answer. */
-export interface LatencyFigures {
-  /** From arrival to the first token; null when none came. */
+/** The measured latency of one answer. */
+export interface LatencyMeasurements {
+  /** Time from the request's arrival to its first token; null when there was none. */
   readonly firstTokenMs: number | null;
   /** The 95th percentile of the gaps between tokens; 0 with fewer than two tokens. */
   readonly interTokenP95Ms: number;
 }
 
-/** Times an answer. */
-export interface LatencyWatch {
-  /** Tokens arrived together: one gap before the first, none between them. */
+/** Measures the latency of an answer while it is streamed. */
+export interface LatencyMeter {
+  /** Records `count` tokens that arrived together: one gap before the first, none between them. */
   readonly tokens: (nowMs: number, count: number) => void;
-  readonly figures: () => LatencyFigures;
+  readonly figures: () => LatencyMeasurements;
 }
 
-/** Gaps kept; a longer answer is judged by its latest ones. */
+/** Gaps kept; longer answers are measured by their most recent gaps. */
 const MAX_GAPS = 512;
-const GOAL_SHARE = 0.95;
+const PERCENTILE_RATIO = 0.95;
 
-/** Starts timing. */
-export function createLatencyWatch(arrivedAtMs: number): LatencyWatch {
+/** Creates a meter for a request that arrived at `arrivedAtMs`. */
+export function createLatencyMeter(arrivedAtMs: number): LatencyMeter {
   const gapsMs: number[] = [];
   let firstTokenMs: number | null = null;
   let lastAtMs = arrivedAtMs;
@@ -29,13 +29,13 @@
     tokens: (nowMs, count) => {
       if (firstTokenMs === null) firstTokenMs = nowMs - arrivedAtMs;
       else gapsMs.push(nowMs - lastAtMs);
-      for (let more = 1; more < count; more += 1) gapsMs.push(0);
+      for (let extraToken = 1; extraToken < count; extraToken += 1) gapsMs.push(0);
       if (gapsMs.length > MAX_GAPS) gapsMs.splice(0, gapsMs.length - MAX_GAPS);
       lastAtMs = nowMs;
     },
     figures: () => {
       const sorted = [...gapsMs].sort((left, right) => left - right);
-      const index = Math.max(0, Math.ceil(sorted.length * GOAL_SHARE) - 1);
+      const index = Math.max(0, Math.ceil(sorted.length * PERCENTILE_RATIO) - 1);
       return { firstTokenMs, interTokenP95Ms: sorted[index] ?? 0 };
     },
   };
--- a/packages/daemon/src/entry/load-subscriptions.ts
+++ b/packages/daemon/src/entry/load-subscriptions.ts
@@ -1,7 +1,7 @@
 /**
- * Asks sidecars for load reports: those of the targets that this entry may choose, and of all targets
- * of the services that it plans. The more there are, the longer the interval, so that what arrives
- * stays under a bound at any size of the fleet.
+ * Subscribes to load reports from sidecars: those of the targets in this entry's subset, and of all
+ * targets of the services that it plans. The report interval grows with the number of targets,
+ * which bounds the incoming traffic at any fleet size.
  */
 import type { Random, TargetSpec } from '@cassiamast/coordination';
 import { formatAddress } from '../node/address.js';
@@ -13,14 +13,17 @@
 import type { TargetDirectory } from './target-directory.js';
 
 const SUBSCRIBE_MS = 5_000;
-/** A sealed report with its headers, about. */
+/** Approximate size of a sealed report including packet headers. */
 const LOAD_REPORT_BYTES = 180;
-/** Of the 4 KB a second that control may cost an entry; membership and the rest need under 2. */
+/**
+ * Share of the 4 KB/s that control traffic may use at an entry; membership and other traffic need
+ * less than 2 KB/s.
+ */
 const LOAD_BYTES_PER_S = 1_500;
 const MIN_REPORT_INTERVAL_MS = 500;
 const MS_PER_S = 1_000;
 
-/** What the subscriptions follow. */
+/** Options of the load subscriptions. */
 export interface LoadSubscriptionsOptions {
   readonly random: Random;
   readonly directory: TargetDirectory;
@@ -30,12 +33,12 @@
   readonly send: Datagrams['send'];
 }
 
-/** Renews the subscriptions every few seconds, at moments that differ between entries. */
+/** Renews the subscriptions every few seconds, with jitter between entries. */
 export function createLoadSubscriptions(options: LoadSubscriptionsOptions): Child {
   const { random, send } = options;
 
   function subscribe(): void {
-    const followed = followedTargets(options);
+    const followed = subscribedTargets(options);
     const reportsBytes = followed.length * LOAD_REPORT_BYTES;
     const intervalMs = Math.max(
       MIN_REPORT_INTERVAL_MS,
@@ -49,12 +52,12 @@
   return createPeriodic('subscriptions', () => SUBSCRIBE_MS * (0.5 + random() / 2), subscribe);
 }
 
-function followedTargets(options: LoadSubscriptionsOptions): readonly TargetSpec[] {
+function subscribedTargets(options: LoadSubscriptionsOptions): readonly TargetSpec[] {
   const { directory, policies } = options;
   const planned = new Set(options.plannedServices());
   return [...policies.models()].flatMap(([name, policy]) => {
-    const wanted = new Set(policy.subset());
+    const subsetNames = new Set(policy.subset());
     const targets = directory.service(name)?.targets ?? [];
-    return targets.filter((target) => planned.has(name) || wanted.has(target.name));
+    return targets.filter((target) => planned.has(name) || subsetNames.has(target.name));
   });
 }
--- a/packages/daemon/src/entry/model-policy.ts
+++ b/packages/daemon/src/entry/model-policy.ts
@@ -1,6 +1,6 @@
 /**
- * The policy of a model service at one entry: the library's fair queue in front of its router, fed
- * by load reports and by what becomes of this entry's own requests.
+ * The policy of a model service at one entry: a fair queue in front of the router. Load reports and
+ * the outcomes of this entry's own requests update the router's view of the targets.
  */
 import {
   type Admission,
@@ -51,48 +51,51 @@
 import { formatAddress } from '../node/address.js';
 import type { PrefillPlace } from '../protocol/stream.js';
 import { estimateTokens, fingerprintBlocks } from './prompt-blocks.js';
-import type { AttemptEnd, Grant, PlaceQuestion, ServicePolicy } from './service-policy.js';
+import type { AttemptEnd, Grant, PlacementRequest, ServicePolicy } from './service-policy.js';
 
 const RETRY_AFTER_MS = 1_000;
-/** Answers are wanted however late, so a request waits for half of its time before it is refused. */
-const PATIENCE_SHARE = 0.5;
+/**
+ * A late answer is still useful, so a request may spend half of its remaining time in the queue
+ * before it is rejected.
+ */
+const MAX_QUEUE_WAIT_SHARE = 0.5;
 
-/** What the policy needs. */
+/** Options of the model policy. */
 export interface ModelPolicyOptions {
   readonly entry: string;
   readonly nowMs: () => number;
   readonly random: Random;
   readonly hash32: Hash32;
   readonly service: () => ServiceSpec;
-  /** Weight and limit of a workspace. */
+  /** Returns the fair-queue weight and the rate limit of a workspace. */
   readonly workspace: (name: string) => {
     readonly share: number;
     readonly maxTokensPerS: number | null;
   };
   readonly latencyMs: (failureDomain: string) => number;
-  /** Entries of the deployment, this one among them. */
+  /** Number of live entries of the deployment, including this one. */
   readonly entriesAlive: () => number;
   readonly emit: (event: UnstampedEvent) => void;
 }
 
-/** The policy with what a model service knows besides. */
+/** The policy of a model service with its router and demand meter. */
 export interface ModelPolicy extends ServicePolicy {
   readonly noteLoad: (report: LoadReport) => void;
   readonly setTargets: (targets: readonly TargetInfo[]) => void;
   readonly router: Router;
   readonly meter: DemandMeter;
   readonly queuedRequests: () => number;
-  /** While shed, new requests are refused in favour of more important services. */
+  /** While shed, new requests are rejected in favour of more important services. */
   readonly setShed: (shed: boolean) => void;
 }
 
-interface Waiting {
-  readonly question: PlaceQuestion;
+interface QueuedPlacement {
+  readonly placement: PlacementRequest;
   readonly request: RouteRequest;
   readonly arrivedAtMs: number;
 }
 
-/** Makes the policy of one model service. */
+/** Creates the policy of one model service. */
 export function createModelPolicy(options: ModelPolicyOptions): ModelPolicy {
   const profile: EngineProfile = DEFAULT_ENGINE_PROFILE;
   const { goals, name } = options.service();
@@ -104,20 +107,21 @@
     firstTokenGoalMs: goals.firstTokenMs,
     interTokenGoalMs: goals.interTokenMs,
     latencyMs: options.latencyMs,
-    // Entries that share a target do about what this one does since the last report.
+    // Assumes that other entries sharing a target have dispatched to it at the same rate as this
+    // entry since the last report.
     get peerFactor() {
       const targets = Math.max(1, options.service().targets.length);
       const share = Math.min(1, DEFAULT_ROUTER_OPTIONS.subsetTargets / targets);
       return Math.max(1, options.entriesAlive() * share);
     },
   });
-  const admission: Admission<Waiting> = createAdmission({
+  const admission: Admission<QueuedPlacement> = createAdmission({
     ...DEFAULT_ADMISSION_OPTIONS,
     service: name,
   });
   const outliers: Outliers = createOutliers({ ...DEFAULT_OUTLIER_OPTIONS, service: name });
   const meter = createDemandMeter(options.entry, profile, goals.interTokenMs, options.nowMs());
-  const rule: StartRule = {
+  const startRule: StartRule = {
     ...DEFAULT_START_SLACK,
     firstTokenGoalMs: goals.firstTokenMs,
     interTokenGoalMs: goals.interTokenMs,
@@ -132,69 +136,76 @@
     return spec === undefined ? null : { sidecar: formatAddress(spec.sidecar), target };
   }
 
-  function readerOf(plan: RoutePlan): PrefillPlace | null {
+  function prefillPlaceOf(plan: RoutePlan): PrefillPlace | null {
     const spec = plan.kind === RouteKind.Split ? findTarget(plan.reader) : undefined;
     if (spec === undefined) return null;
     const engineUrl = `http://${formatAddress(spec.backend)}`;
     return { sidecar: formatAddress(spec.sidecar), target: plan.reader, engineUrl };
   }
 
-  function toRouteRequest(question: PlaceQuestion): RouteRequest {
+  function toRouteRequest(placement: PlacementRequest): RouteRequest {
     return {
-      workspace: question.workspace,
-      promptTokens: estimateTokens(question.prompt),
-      prefixBlocks: fingerprintBlocks(question.prompt, router.options.blockTokens, options.hash32),
-      maxOutputTokens: question.maxOutputTokens,
+      workspace: placement.workspace,
+      promptTokens: estimateTokens(placement.prompt),
+      prefixBlocks: fingerprintBlocks(placement.prompt, router.options.blockTokens, options.hash32),
+      maxOutputTokens: placement.maxOutputTokens,
       excluded: new Set(),
     };
   }
 
-  /** Where it would go now; the targets that failed it are tried again only if no other serves. */
-  function decide(request: RouteRequest, avoidTargets: readonly string[]): RoutePlan | null {
+  /**
+   * Routes a request. Targets that failed it are used again only when no other target is available,
+   * and ejected targets only as the last resort.
+   */
+  function planRoute(request: RouteRequest, avoidTargets: readonly string[]): RoutePlan | null {
     const nowMs = options.nowMs();
     const ejected = excludedTargets(outliers, nowMs, options.random);
-    const strict = { ...request, excluded: new Set([...ejected, ...avoidTargets]) };
-    for (const tried of [strict, { ...request, excluded: ejected }, request]) {
-      const decision = route(router, tried, nowMs, options.random);
+    const preferredRequest = { ...request, excluded: new Set([...ejected, ...avoidTargets]) };
+    for (const routeRequest of [preferredRequest, { ...request, excluded: ejected }, request]) {
+      const decision = route(router, routeRequest, nowMs, options.random);
       if (decision.kind !== RouteKind.None) return decision;
     }
     return null;
   }
 
-  function trySend(waiting: Waiting, place: FairWaiting<Waiting>): PumpResult {
-    const { question, request } = waiting;
-    if (!question.isWanted()) return PumpResult.Sent;
-    const plan = decide(request, question.avoidTargets);
+  function tryGrant(queued: QueuedPlacement, place: FairWaiting<QueuedPlacement>): PumpResult {
+    const { placement, request } = queued;
+    if (!placement.isWanted()) return PumpResult.Sent;
+    const plan = planRoute(request, placement.avoidTargets);
     if (plan === null) return PumpResult.Wait;
-    const waitedMs = options.nowMs() - waiting.arrivedAtMs;
-    // A request that missed its goal while it waited is still wanted: it goes as soon as it would
-    // if it came now, and does not hold up the ones behind it.
-    const countedMs = waitedMs > rule.firstTokenGoalMs ? 0 : waitedMs;
-    const borrows = isBorrowing(admission.queue, place);
-    if (!mayStart(rule, plan, countedMs, borrows)) return PumpResult.Wait;
-    const writer = placeOf(plan.writer);
-    if (writer === null) return PumpResult.Wait;
+    const waitedMs = options.nowMs() - queued.arrivedAtMs;
+    // A request that missed its latency goal in the queue is started under the same rule as one
+    // that has just arrived, so it does not cause head-of-line blocking.
+    const consideredWaitMs = waitedMs > startRule.firstTokenGoalMs ? 0 : waitedMs;
+    const isBorrower = isBorrowing(admission.queue, place);
+    if (!mayStart(startRule, plan, consideredWaitMs, isBorrower)) return PumpResult.Wait;
+    const decodePlace = placeOf(plan.writer);
+    if (decodePlace === null) return PumpResult.Wait;
     noteDispatch(router, plan, request, options.nowMs());
     const { predictedFirstTokenMs } = plan;
-    const grant: Grant = { place: writer, reader: readerOf(plan), predictedFirstTokenMs };
-    question.onGrant(grant);
+    const grant: Grant = {
+      place: decodePlace,
+      reader: prefillPlaceOf(plan),
+      predictedFirstTokenMs,
+    };
+    placement.onGrant(grant);
     return PumpResult.Sent;
   }
 
   function pumpNow(): void {
-    const expired = pump(admission, options.nowMs(), trySend);
+    const expired = pump(admission, options.nowMs(), tryGrant);
     for (const { item, failure } of expired) {
-      item.question.onRefusal(failure.message, failure.data.retryAfterMs);
+      item.placement.onRefusal(failure.message, failure.data.retryAfterMs);
     }
   }
 
-  function ask(question: PlaceQuestion): void {
-    const request = toRouteRequest(question);
+  function requestPlacement(placement: PlacementRequest): void {
+    const request = toRouteRequest(placement);
     const outputTokens = expectedOutputTokens(
       router.lengths,
-      question.workspace,
+      placement.workspace,
       request.promptTokens,
-      question.maxOutputTokens,
+      placement.maxOutputTokens,
     );
     noteArrival(meter, {
       promptTokens: request.promptTokens,
@@ -202,28 +213,28 @@
       expectedOutputTokens: outputTokens,
     });
     if (router.live.length === 0) {
-      question.onRefusal(`no target of ${name} takes work`, RETRY_AFTER_MS);
+      placement.onRefusal(`no target of ${name} takes work`, RETRY_AFTER_MS);
       return;
     }
-    const { share, maxTokensPerS } = options.workspace(question.workspace);
+    const { share, maxTokensPerS } = options.workspace(placement.workspace);
     const nowMs = options.nowMs();
-    const refused = offer(
+    const rejection = offer(
       admission,
       {
-        workspace: question.workspace,
+        workspace: placement.workspace,
         weight: share,
         maxTokensPerS,
         costTokens: requestCostTokens(request.promptTokens, outputTokens),
-        patienceMs: question.remainingMs * PATIENCE_SHARE,
-        item: { question, request, arrivedAtMs: nowMs },
+        patienceMs: placement.remainingMs * MAX_QUEUE_WAIT_SHARE,
+        item: { placement, request, arrivedAtMs: nowMs },
       },
       nowMs,
     );
-    if (refused === null) pumpNow();
-    else question.onRefusal(refused.message, refused.data.retryAfterMs);
+    if (rejection === null) pumpNow();
+    else placement.onRefusal(rejection.message, rejection.data.retryAfterMs);
   }
 
-  function noteAttemptEnd(end: AttemptEnd): void {
+  function handleAttemptEnd(end: AttemptEnd): void {
     const nowMs = options.nowMs();
     const { target, workspace, promptTokens, outputTokens, whole } = end;
     noteEnd(router, { target, workspace, promptTokens, outputTokens, whole }, nowMs);
@@ -238,12 +249,12 @@
   return {
     router,
     meter,
-    ask,
+    requestPlacement,
     pump: pumpNow,
-    noteEnd: noteAttemptEnd,
-    pickAlone: (avoidTargets) => {
+    recordAttemptEnd: handleAttemptEnd,
+    pickForLoneRun: (avoidTargets) => {
       const request = { workspace: '', promptTokens: 0, prefixBlocks: [], maxOutputTokens: 1 };
-      const plan = decide({ ...request, excluded: new Set() }, avoidTargets);
+      const plan = planRoute({ ...request, excluded: new Set() }, avoidTargets);
       return plan === null ? null : placeOf(plan.writer);
     },
     subset: () => router.subset.map((view) => view.name),
--- a/packages/daemon/src/entry/model-request.ts
+++ b/packages/daemon/src/entry/model-request.ts
@@ -1,4 +1,4 @@
-/** Turns an HTTP exchange on the callers' port into a checked {@link ModelRequest} or a refusal. */
+/** Parses an HTTP request for a model into a validated {@link ModelRequest} or a refusal. */
 import { createHash } from 'node:crypto';
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Configuration, WorkspaceSpec } from '@cassiamast/coordination';
@@ -6,43 +6,43 @@
 import type { AnswerFormat, ModelRequest } from './caller-request.js';
 import { NOT_SERVED, REQUEST_MALFORMED, type Refusal } from './failures.js';
 import { readIdempotencyKey, readLastEventId, readPriority, readTimeoutMs } from './headers.js';
-import { type AskedCompletion, parseAsked } from './openai-request.js';
-import { refuseNotRun, refuseUnseen } from './refusals.js';
+import { type CompletionParameters, parseCompletionParameters } from './openai-request.js';
+import { refuseNotRun, refuseWithoutLookup } from './refusals.js';
 import { findModel, type ModelChoice } from './service-directory.js';
 
 const CONTENT_HASH_CHARACTERS = 32;
 const MAX_SEED = 0x7fff_ffff;
 
-/** What a model request is made from. */
+/** Input of {@link parseModelRequest}. */
 export interface ModelRequestInput {
   readonly format: AnswerFormat;
   readonly headers: IncomingHttpHeaders;
   readonly body: Buffer;
   readonly workspace: WorkspaceSpec;
   readonly configuration: Configuration;
-  /** Makes a key for a caller that sent none. */
+  /** Generates an idempotency key for a caller that sent none. */
   readonly makeKey: () => string;
 }
 
-/** Checks a request; every fault of the body is named at once. */
+/** Validates a request; the refusal lists all faults of the body. */
 export function parseModelRequest(input: ModelRequestInput): Result<ModelRequest, Refusal> {
   const json = parseJson(input.body);
   if (json.isErr()) return err(malformed([json.error]));
-  const asked = parseAsked(input.format, json.value);
-  if (asked.isErr()) return err(malformed(asked.error));
-  const choice = findModel(input.configuration, asked.value.model);
+  const parameters = parseCompletionParameters(input.format, json.value);
+  if (parameters.isErr()) return err(malformed(parameters.error));
+  const choice = findModel(input.configuration, parameters.value.model);
   if (choice === null) {
-    const failure = NOT_SERVED.of({ what: `model ${asked.value.model}` });
-    // A service that was removed meanwhile may have run an earlier sending of this key.
+    const failure = NOT_SERVED.of({ what: `model ${parameters.value.model}` });
+    // An earlier attempt with this key may have run on a service that was removed since.
     const isKeyed = input.headers['idempotency-key'] !== undefined;
-    return err(refuseUnseen(failure, 404, null, isKeyed));
+    return err(refuseWithoutLookup(failure, 404, null, isKeyed));
   }
-  return buildRequest(input, asked.value, choice);
+  return buildRequest(input, parameters.value, choice);
 }
 
 function buildRequest(
   input: ModelRequestInput,
-  asked: AskedCompletion,
+  parameters: CompletionParameters,
   choice: ModelChoice,
 ): Result<ModelRequest, Refusal> {
   const callerKey = readIdempotencyKey(input.headers);
@@ -59,23 +59,23 @@
     keyFromCaller: callerKey !== null,
     service: choice.service.name,
     format: input.format,
-    modelText: asked.model,
+    modelText: parameters.model,
     model: choice.model,
     adapter: choice.adapter,
-    prompt: asked.prompt,
-    maxTokens: Math.min(asked.maxTokens, limits.maxOutputTokens),
-    temperature: asked.temperature,
-    seed: asked.seed ?? seedOf(key.workspace, key.idempotencyKey),
-    stream: asked.stream,
-    includeUsage: asked.includeUsage,
+    prompt: parameters.prompt,
+    maxTokens: Math.min(parameters.maxTokens, limits.maxOutputTokens),
+    temperature: parameters.temperature,
+    seed: parameters.seed ?? seedOf(key.workspace, key.idempotencyKey),
+    stream: parameters.stream,
+    includeUsage: parameters.includeUsage,
     priority: readPriority(input.headers),
     timeoutMs: readTimeoutMs(input.headers, choice.service.deadlineMs),
-    contentHash: contentHash(input.format, asked),
+    contentHash: contentHash(input.format, parameters),
     resumeFrom,
   });
 }
 
-/** The seed follows from the key, so that a rerun of the same request samples the same tokens. */
+/** Derives the seed from the key, so that a rerun of a request samples the same tokens. */
 function seedOf(workspace: string, idempotencyKey: string): number {
   const digest = createHash('sha256')
     .update(JSON.stringify([workspace, idempotencyKey]))
@@ -83,9 +83,12 @@
   return digest.readUInt32BE(0) & MAX_SEED;
 }
 
-/** What is asked, apart from how it is delivered: a resend may stream where the first did not. */
-function contentHash(format: AnswerFormat, asked: AskedCompletion): string {
-  const { model, prompt, maxTokens, temperature, seed } = asked;
+/**
+ * Hashes the content of a request without its delivery options, because a retry may stream where
+ * the first attempt did not.
+ */
+function contentHash(format: AnswerFormat, parameters: CompletionParameters): string {
+  const { model, prompt, maxTokens, temperature, seed } = parameters;
   const content = JSON.stringify([format, model, prompt, maxTokens, temperature, seed]);
   return createHash('sha256').update(content).digest('hex').slice(0, CONTENT_HASH_CHARACTERS);
 }
--- a/packages/daemon/src/entry/openai-answer.ts
+++ b/packages/daemon/src/entry/openai-answer.ts
@@ -1,8 +1,8 @@
-/** Writes answers as OpenAI-compatible chunks and whole bodies. */
+/** Formats answers as OpenAI-compatible chunks and bodies. */
 import { FinishReason } from '@cassiamast/ports';
 import { AnswerFormat } from './caller-request.js';
 
-/** What all parts of one answer repeat. */
+/** Fields that are repeated in every chunk of one answer. */
 export interface AnswerHead {
   readonly id: string;
   readonly format: AnswerFormat;
@@ -18,7 +18,7 @@
   readonly outputTokens: number;
 }
 
-/** Marks the end of a stream for OpenAI's clients. */
+/** Data of the event that ends a stream for OpenAI clients. */
 export const DONE_DATA = '[DONE]';
 
 const WIRE_REASON: Readonly<Record<FinishReason, string>> = {
@@ -27,7 +27,7 @@
   [FinishReason.PrefillDone]: 'stop',
 };
 
-/** One chunk of a stream; the first of a chat names the role. */
+/** Returns the data of one stream chunk; the first chunk of a chat includes the role. */
 export function chunkData(
   head: AnswerHead,
   text: string,
@@ -45,13 +45,13 @@
   return JSON.stringify({ ...headFields(head, 'chat.completion.chunk'), choices: [choice] });
 }
 
-/** The closing chunk that carries the token counts, where the caller asked for them. */
+/** Returns the data of the final chunk with the token counts, sent on the caller's request. */
 export function usageData(head: AnswerHead, usage: AnswerUsage): string {
   const object = head.format === AnswerFormat.Chat ? 'chat.completion.chunk' : 'text_completion';
   return JSON.stringify({ ...headFields(head, object), choices: [], usage: usageFields(usage) });
 }
 
-/** The whole answer in one body. */
+/** Returns the body of an answer that is not streamed. */
 export function wholeBody(
   head: AnswerHead,
   text: string,
--- a/packages/daemon/src/entry/openai-request.ts
+++ b/packages/daemon/src/entry/openai-request.ts
@@ -1,4 +1,4 @@
-/** Checks bodies of the OpenAI-compatible completions and chat completions. */
+/** Validates the bodies of OpenAI-compatible completion and chat completion requests. */
 import { err, ok, type Result } from 'neverthrow';
 import { z } from 'zod/v3';
 import { AnswerFormat } from './caller-request.js';
@@ -35,8 +35,8 @@
   })
   .passthrough();
 
-/** What a body asks for, before headers and configuration are looked at. */
-export interface AskedCompletion {
+/** The parameters in a request body, before headers and configuration are applied. */
+export interface CompletionParameters {
   readonly model: string;
   readonly prompt: string;
   readonly maxTokens: number;
@@ -46,33 +46,33 @@
   readonly includeUsage: boolean;
 }
 
-/** Checks a body; the faults name the field. */
-export function parseAsked(
+/** Validates a body; each fault names the field concerned. */
+export function parseCompletionParameters(
   format: AnswerFormat,
   body: unknown,
-): Result<AskedCompletion, readonly string[]> {
+): Result<CompletionParameters, readonly string[]> {
   return format === AnswerFormat.Chat ? parseChat(body) : parseCompletion(body);
 }
 
-function parseCompletion(body: unknown): Result<AskedCompletion, readonly string[]> {
+function parseCompletion(body: unknown): Result<CompletionParameters, readonly string[]> {
   const parsed = completionBody.safeParse(body);
   if (!parsed.success) return err(faultsOf(parsed.error));
   const { data } = parsed;
-  return ok({ ...commonOf(data, data.max_tokens), prompt: data.prompt });
+  return ok({ ...commonParameters(data, data.max_tokens), prompt: data.prompt });
 }
 
-function parseChat(body: unknown): Result<AskedCompletion, readonly string[]> {
+function parseChat(body: unknown): Result<CompletionParameters, readonly string[]> {
   const parsed = chatBody.safeParse(body);
   if (!parsed.success) return err(faultsOf(parsed.error));
   const { data } = parsed;
   const maxTokens = data.max_completion_tokens ?? data.max_tokens;
-  return ok({ ...commonOf(data, maxTokens), prompt: renderMessages(data.messages) });
+  return ok({ ...commonParameters(data, maxTokens), prompt: renderPrompt(data.messages) });
 }
 
-function commonOf(
+function commonParameters(
   data: z.infer<typeof completionBody> | z.infer<typeof chatBody>,
   maxTokens: number | null | undefined,
-): Omit<AskedCompletion, 'prompt'> {
+): Omit<CompletionParameters, 'prompt'> {
   return {
     model: data.model,
     maxTokens: maxTokens ?? DEFAULT_MAX_TOKENS,
@@ -83,8 +83,8 @@
   };
 }
 
-/** The engine takes one text: roles become headings, as chat templates do. */
-function renderMessages(messages: readonly z.infer<typeof chatMessage>[]): string {
+/** Renders messages as a single prompt with a heading for each role, as chat templates do. */
+function renderPrompt(messages: readonly z.infer<typeof chatMessage>[]): string {
   const rendered = messages.map(
     (message) => `<|${message.role}|>\n${contentText(message.content)}`,
   );
--- a/packages/daemon/src/entry/plain-call.ts
+++ b/packages/daemon/src/entry/plain-call.ts
@@ -1,19 +1,19 @@
-/** Turns an HTTP exchange on `/services/<service>/<path>` into a checked call or a refusal. */
+/** Parses an HTTP request to `/services/<service>/<path>` into a validated call or a refusal. */
 import { createHash } from 'node:crypto';
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Configuration, RequestKey, WorkspaceSpec } from '@cassiamast/coordination';
 import { err, ok, type Result } from 'neverthrow';
 import { NOT_SERVED, REQUEST_MALFORMED, type Refusal } from './failures.js';
 import { readIdempotencyKey, readTimeoutMs } from './headers.js';
-import { refuseNotRun, refuseUnseen } from './refusals.js';
+import { refuseNotRun, refuseWithoutLookup } from './refusals.js';
 import { findPlainService, isRepeatable } from './service-directory.js';
 
-/** Paths of plain services begin with this, then the service's name. */
+/** Path prefix of plain services, followed by the service's name. */
 export const PLAIN_PATH_PREFIX = '/services/';
 
 const CONTENT_HASH_CHARACTERS = 32;
-/** Headers that belong to one hop (RFC 9110, 7.6.1), or that are ours. */
-const OWN_HEADERS = new Set([
+/** Headers that are not forwarded: hop-by-hop (RFC 9110, 7.6.1) or consumed by the entry. */
+const NOT_FORWARDED_HEADERS = new Set([
   'authorization',
   'connection',
   'content-length',
@@ -29,16 +29,16 @@
   'transfer-encoding',
   'upgrade',
 ]);
-/** Methods that HTTP itself defines as idempotent and safe. */
+/** Methods that HTTP defines as safe, and therefore as idempotent. */
 const SAFE_METHODS = new Set(['GET', 'HEAD', 'OPTIONS']);
 
-/** A call of a plain service. */
+/** A validated call to a plain service. */
 export interface PlainCall {
   readonly key: RequestKey;
   readonly keyFromCaller: boolean;
   readonly service: string;
   readonly method: string;
-  /** Path and query at the service. */
+  /** Path and query relative to the service. */
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly bodyBase64: string;
@@ -47,7 +47,7 @@
   readonly contentHash: string;
 }
 
-/** What a plain call is made from. */
+/** Input of {@link parsePlainCall}. */
 export interface PlainCallInput {
   readonly method: string;
   readonly url: string;
@@ -58,18 +58,18 @@
   readonly makeKey: () => string;
 }
 
-/** Checks a call. */
+/** Validates a call to a plain service. */
 export function parsePlainCall(input: PlainCallInput): Result<PlainCall, Refusal> {
-  const rest = input.url.slice(PLAIN_PATH_PREFIX.length);
-  const slash = rest.indexOf('/');
-  const name = slash < 0 ? rest : rest.slice(0, slash);
-  const path = slash < 0 ? '/' : rest.slice(slash);
+  const serviceAndPath = input.url.slice(PLAIN_PATH_PREFIX.length);
+  const slash = serviceAndPath.indexOf('/');
+  const name = slash < 0 ? serviceAndPath : serviceAndPath.slice(0, slash);
+  const path = slash < 0 ? '/' : serviceAndPath.slice(slash);
   const service = findPlainService(input.configuration, name);
   if (service === null) {
     const failure = NOT_SERVED.of({ what: `service ${name}` });
-    // A service that was removed meanwhile may have run an earlier sending of this key.
+    // An earlier attempt with this key may have run on a service that was removed since.
     const isKeyed = input.headers['idempotency-key'] !== undefined;
-    return err(refuseUnseen(failure, 404, null, isKeyed));
+    return err(refuseWithoutLookup(failure, 404, null, isKeyed));
   }
   const callerKey = readIdempotencyKey(input.headers);
   if (callerKey === undefined) {
@@ -95,11 +95,11 @@
 }
 
 function endToEndHeaders(headers: IncomingHttpHeaders): Readonly<Record<string, string>> {
-  const kept: Record<string, string> = {};
+  const forwarded: Record<string, string> = {};
   for (const [name, value] of Object.entries(headers)) {
-    if (typeof value === 'string' && !OWN_HEADERS.has(name)) kept[name] = value;
+    if (typeof value === 'string' && !NOT_FORWARDED_HEADERS.has(name)) forwarded[name] = value;
   }
-  return kept;
+  return forwarded;
 }
 
 function contentHash(method: string, service: string, path: string, bodyBase64: string): string {
--- a/packages/daemon/src/entry/policies.ts
+++ b/packages/daemon/src/entry/policies.ts
@@ -1,4 +1,4 @@
-/** The policies of all services in force, made and dropped as the configuration changes. */
+/** Maintains one policy per configured service and updates them when the configuration changes. */
 import {
   type Configuration,
   type Hash32,
@@ -14,16 +14,16 @@
 } from '@cassiamast/coordination';
 import { type ModelPolicy, createModelPolicy } from './model-policy.js';
 import { createPlainPolicy } from './plain-policy.js';
-import type { PlaceQuestion, ServicePolicy } from './service-policy.js';
+import type { PlacementRequest, ServicePolicy } from './service-policy.js';
 import type { TargetDirectory } from './target-directory.js';
 
-/** Within a failure domain, and to another one; the deployments' own figures. */
+/** Network latency within a failure domain and between domains, as specified by the deployments. */
 const SAME_DOMAIN_MS = 0.2;
 const OTHER_DOMAIN_MS = 1.5;
-const GONE_RETRY_MS = 1_000;
+const RETRY_AFTER_MS = 1_000;
 const DEFAULT_SHARE = 1;
 
-/** What the policies need. */
+/** Options of the policies. */
 export interface PoliciesOptions {
   readonly entry: string;
   readonly failureDomain: string;
@@ -36,38 +36,38 @@
   readonly emit: (event: UnstampedEvent) => void;
 }
 
-/** The policies of an entry. */
+/** The policies of all services at one entry. */
 export interface Policies {
   readonly of: (service: string) => ServicePolicy;
   readonly models: () => ReadonlyMap<string, ModelPolicy>;
   readonly noteLoad: (report: LoadReport) => void;
-  /** To be called when the configuration, a member or the VM list changed. */
+  /** Must be called when the configuration, a member or the VM list changes. */
   readonly refresh: () => void;
   readonly pump: () => void;
-  /** Sheds the services of lowest priority at this part, 0 to 1, of the entry's deliveries. */
+  /** Sheds low-priority services; `pressure` is the share (0 to 1) of the request table in use. */
   readonly shed: (pressure: number) => void;
 }
 
-/** Makes the policies. */
+/** Creates the policies of one entry. */
 export function createPolicies(options: PoliciesOptions): Policies {
   const models = new Map<string, ModelPolicy>();
-  const plains = new Map<string, ServicePolicy>();
-  /** Services that wait for a dependency, with the policy that says so. */
-  const waiting = new Map<string, ServicePolicy>();
+  const plainPolicies = new Map<string, ServicePolicy>();
+  /** Rejecting policies of services whose dependency is not ready, by service. */
+  const notReadyPolicies = new Map<string, ServicePolicy>();
 
-  function specs(): readonly ServiceSpec[] {
+  function serviceSpecs(): readonly ServiceSpec[] {
     return options.configuration()?.services ?? [];
   }
 
   function workspace(name: string): { share: number; maxTokensPerS: number | null } {
-    const found = options.configuration()?.workspaces.find((spec) => spec.name === name);
+    const workspaceSpec = options.configuration()?.workspaces.find((spec) => spec.name === name);
     return {
-      share: found?.share ?? DEFAULT_SHARE,
-      maxTokensPerS: found?.maxTokensPerS ?? null,
+      share: workspaceSpec?.share ?? DEFAULT_SHARE,
+      maxTokensPerS: workspaceSpec?.maxTokensPerS ?? null,
     };
   }
 
-  function makeModel(spec: ServiceSpec): ModelPolicy {
+  function createModel(spec: ServiceSpec): ModelPolicy {
     return createModelPolicy({
       entry: options.entry,
       nowMs: options.nowMs,
@@ -81,7 +81,7 @@
     });
   }
 
-  function makePlain(spec: ServiceSpec): ServicePolicy {
+  function createPlain(spec: ServiceSpec): ServicePolicy {
     return createPlainPolicy({
       service: spec.name,
       random: options.random,
@@ -90,15 +90,15 @@
   }
 
   function refresh(): void {
-    const names = new Set(specs().map((spec) => spec.name));
+    const names = new Set(serviceSpecs().map((spec) => spec.name));
     for (const name of models.keys()) if (!names.has(name)) models.delete(name);
-    for (const name of plains.keys()) if (!names.has(name)) plains.delete(name);
-    for (const spec of specs()) {
+    for (const name of plainPolicies.keys()) if (!names.has(name)) plainPolicies.delete(name);
+    for (const spec of serviceSpecs()) {
       if (spec.kind === TargetKind.PlainService) {
-        if (!plains.has(spec.name)) plains.set(spec.name, makePlain(spec));
+        if (!plainPolicies.has(spec.name)) plainPolicies.set(spec.name, createPlain(spec));
         continue;
       }
-      const policy = models.get(spec.name) ?? makeModel(spec);
+      const policy = models.get(spec.name) ?? createModel(spec);
       models.set(spec.name, policy);
       policy.setTargets(options.directory.infos(spec.name));
     }
@@ -106,28 +106,34 @@
   }
 
   /**
-   * A service whose dependency has no target is refused at once: its requests would use a target
-   * and fail at the dependency.
+   * Rejects requests to services whose dependency has no available target. Such requests would
+   * occupy a target and then fail at the dependency.
    */
   function refreshReadiness(): void {
-    waiting.clear();
+    notReadyPolicies.clear();
     const serving = (name: string): number => options.directory.open(name).length;
-    for (const [name, readiness] of readinessOf(specs(), serving)) {
+    for (const [name, readiness] of readinessOf(serviceSpecs(), serving)) {
       if (readiness.ready || readiness.cause === UnreadyCause.NoTarget) continue;
-      waiting.set(name, refusingPolicy(`it depends on ${readiness.service}, which is not ready`));
+      notReadyPolicies.set(
+        name,
+        createRejectingPolicy(`it depends on ${readiness.service}, which is not ready`),
+      );
     }
   }
 
   return {
     of: (service) =>
-      waiting.get(service) ?? models.get(service) ?? plains.get(service) ?? REMOVED_SERVICE,
+      notReadyPolicies.get(service) ??
+      models.get(service) ??
+      plainPolicies.get(service) ??
+      REMOVED_SERVICE_POLICY,
     models: () => models,
     noteLoad: (report) => {
       for (const policy of models.values()) policy.noteLoad(report);
     },
     refresh,
     shed: (pressure) => {
-      const shed = servicesToShed(effectivePriorities(specs()), pressure);
+      const shed = servicesToShed(effectivePriorities(serviceSpecs()), pressure);
       for (const [name, policy] of models) policy.setShed(shed.has(name));
     },
     pump: () => {
@@ -136,18 +142,20 @@
   };
 }
 
-/** Refuses every attempt, for a reason that passes. */
-function refusingPolicy(reason: string): ServicePolicy {
+/** Creates a policy that rejects every attempt for a temporary reason. */
+function createRejectingPolicy(reason: string): ServicePolicy {
   return {
-    ask: (question: PlaceQuestion) => {
-      question.onRefusal(reason, GONE_RETRY_MS);
+    requestPlacement: (placement: PlacementRequest) => {
+      placement.onRefusal(reason, RETRY_AFTER_MS);
     },
-    pickAlone: () => null,
-    noteEnd: () => undefined,
+    pickForLoneRun: () => null,
+    recordAttemptEnd: () => undefined,
     pump: () => undefined,
     subset: () => [],
   };
 }
 
-/** A service that an edit removed: running requests end, new attempts are refused. */
-const REMOVED_SERVICE = refusingPolicy('the service was removed from the configuration');
+/** Policy of a service that was removed: running requests complete, new attempts are rejected. */
+const REMOVED_SERVICE_POLICY = createRejectingPolicy(
+  'the service was removed from the configuration',
+);
--- a/packages/daemon/src/entry/problem.ts
+++ b/packages/daemon/src/entry/problem.ts
@@ -1,4 +1,4 @@
-/** Refusals as RFC 9457 problem documents, with the members that OpenAI's clients read as well. */
+/** Formats refusals as RFC 9457 problem documents that include the error fields of OpenAI's API. */
 import type { ServerResponse } from 'node:http';
 import type { Refusal } from './failures.js';
 
@@ -6,7 +6,7 @@
 const TYPE_PREFIX = 'urn:cassiamast:problem:';
 const MS_PER_S = 1000;
 
-/** The problem document of a refusal. */
+/** Converts a refusal to a problem document. */
 export function toProblem(refusal: Refusal): Readonly<Record<string, unknown>> {
   const { failure, status, runState, retryAfterMs } = refusal;
   return {
@@ -21,7 +21,7 @@
   };
 }
 
-/** Answers with a refusal; a response that has begun can not take one. */
+/** Sends a refusal as the response; does nothing if a response was already started. */
 export function sendProblem(
   response: ServerResponse,
   refusal: Refusal,
@@ -38,7 +38,7 @@
   response.end(body);
 }
 
-/** Retry-After counts whole seconds: rounded up, so that nobody comes back too early. */
+/** Retry-After has whole seconds; rounding up prevents callers from retrying too early. */
 function retryAfterHeader(retryAfterMs: number | null): Readonly<Record<string, string>> {
   if (retryAfterMs === null) return {};
   return { 'retry-after': String(Math.ceil(retryAfterMs / MS_PER_S)) };
--- a/packages/daemon/src/entry/prompt-blocks.ts
+++ b/packages/daemon/src/entry/prompt-blocks.ts
@@ -1,21 +1,21 @@
 /**
- * Fingerprints of a prompt's blocks, by which an entry recognises prefixes that a target has in its
- * cache. An entry does not know the engine's tokens; a block of characters serves as well, since
- * only equality of whole beginnings matters.
+ * Fingerprints the blocks of a prompt, so that an entry can recognise prefixes that a target has
+ * cached. Entries do not tokenize prompts; blocks of characters work equally well because only the
+ * equality of prefixes matters.
  */
 import type { Hash32 } from '@cassiamast/coordination';
 
-/** Characters of a token of English text, on average over common vocabularies. */
+/** Average token length in English text over common vocabularies. */
 const CHARACTERS_PER_TOKEN = 4;
-/** Blocks looked at: beyond some 16,000 tokens the beginning alone decides well enough. */
+/** Limits fingerprints to a prefix of about 16,000 tokens, which is enough to select a target. */
 const MAX_BLOCKS = 64;
 
-/** Tokens that a text probably has. */
+/** Estimates the number of tokens in a text. */
 export function estimateTokens(text: string): number {
   return Math.ceil(text.length / CHARACTERS_PER_TOKEN);
 }
 
-/** Fingerprints of the whole blocks of a text; each covers all text before it. */
+/** Fingerprints the complete blocks of a text; each fingerprint also covers the text before it. */
 export function fingerprintBlocks(
   text: string,
   blockTokens: number,
--- a/packages/daemon/src/entry/refusals.ts
+++ b/packages/daemon/src/entry/refusals.ts
@@ -1,4 +1,4 @@
-/** From the request machine's failures to what a caller is told over HTTP. */
+/** Converts failures of the request state machine to HTTP refusals. */
 import {
   ANSWER_DIVERGED,
   CLAIM_UNAVAILABLE,
@@ -15,7 +15,7 @@
 } from '@cassiamast/coordination';
 import type { Refusal } from './failures.js';
 
-/** HTTP statuses of the request machine's failures; 503 for any other. */
+/** HTTP status of each state machine failure; other failures use {@link DEFAULT_STATUS}. */
 const STATUS_BY_NAME: ReadonlyMap<string, number> = new Map([
   [KEY_CONFLICT.name, 422],
   [POISONED_REQUEST.name, 422],
@@ -31,25 +31,25 @@
 
 const DEFAULT_STATUS = 503;
 
-/** Failures that the same request will meet again, however often it comes. */
-const FINAL_NAMES = new Set([KEY_CONFLICT.name, POISONED_REQUEST.name] as string[]);
+/** Permanent failures: retrying the same request always fails again. */
+const PERMANENT_FAILURE_NAMES = new Set([KEY_CONFLICT.name, POISONED_REQUEST.name] as string[]);
 
-/** The refusal of a failure as the machine tells it. */
+/** Converts a failure of the request state machine to a refusal. */
 export function toRefusal(
   failure: Failure,
   runState: RunState,
   retryAfterMs: number | null,
 ): Refusal {
-  const isFinal = FINAL_NAMES.has(failure.name);
+  const isPermanent = PERMANENT_FAILURE_NAMES.has(failure.name);
   return {
     failure,
     status: STATUS_BY_NAME.get(failure.name) ?? DEFAULT_STATUS,
     runState,
-    retryAfterMs: isFinal ? null : retryAfterMs,
+    retryAfterMs: isPermanent ? null : retryAfterMs,
   };
 }
 
-/** A refusal before anything ran. */
+/** Creates a refusal of a request that has not run. */
 export function refuseNotRun(
   failure: Failure,
   status: number,
@@ -59,10 +59,11 @@
 }
 
 /**
- * A refusal before this entry looked at the request. A request that brings its own key may be the
- * resend of one that another entry ran, so "not run" would be a guess; without a key it is new.
+ * Creates a refusal of a request whose record was not looked up. A request with a caller's key may
+ * be a retry of one that ran at another entry, so its run state is unknown. A request without a key
+ * is new and has not run.
  */
-export function refuseUnseen(
+export function refuseWithoutLookup(
   failure: Failure,
   status: number,
   retryAfterMs: number | null,
--- a/packages/daemon/src/entry/request-run.ts
+++ b/packages/daemon/src/entry/request-run.ts
@@ -1,6 +1,7 @@
 /**
- * One delivery: the library's request machine with the effects it asks for performed. It lives from
- * the caller's arrival until the answer or a refusal is told; when the caller goes, it goes on.
+ * Runs one caller's request: feeds events to the request state machine of the library and performs
+ * the resulting effects, until the answer or a refusal is delivered. The run continues when the
+ * caller disconnects.
  */
 import {
   type Attempt,
@@ -25,17 +26,17 @@
 import { RpcMethod } from '../protocol/methods.js';
 import type { Payload } from '../protocol/stream.js';
 import type { CallerAnswer } from './caller-answer.js';
-import { createLatencyWatch } from './latency-watch.js';
+import { createLatencyMeter } from './latency-watch.js';
 import { estimateTokens } from './prompt-blocks.js';
 import { toRefusal } from './refusals.js';
 import type { RunServices } from './run-services.js';
-import { createRunStream, isTargetsFault } from './run-stream.js';
+import { createRunStream, isTargetFault } from './run-stream.js';
 import { incarnationOf } from './session-driver.js';
 import type { Grant } from './service-policy.js';
 
 const CANCEL_TIMEOUT_MS = 1_000;
 
-/** What one delivery is started with. */
+/** Options of a request run. */
 export interface RunOptions {
   readonly id: string;
   readonly request: DriveRequest;
@@ -46,27 +47,27 @@
   readonly goals: { readonly firstTokenMs: number; readonly interTokenMs: number };
   readonly answer: CallerAnswer;
   readonly services: RunServices;
-  /** Called once, when nothing more will happen. */
+  /** Called once, when the run has finished. */
   readonly onDone: () => void;
 }
 
-/** A delivery under way. */
+/** A request in progress. */
 export interface RequestRun {
-  readonly drive: RequestDrive;
+  readonly machine: RequestDrive;
   readonly start: () => void;
   readonly handle: (event: DriveEvent) => void;
   readonly loneRunReplied: (reply: LoneRunReply) => void;
-  /** The caller reads on. */
-  readonly drained: () => void;
+  /** Resumes reading after the caller's connection has drained. */
+  readonly resume: () => void;
 }
 
-/** Makes a delivery; nothing happens before `start`. */
+/** Creates a run that does nothing before `start`. */
 export function createRequestRun(options: RunOptions): RequestRun {
   const { services, request, answer } = options;
   const startedAtMs = services.nowMs();
-  const drive = createDrive(options.id, request, startedAtMs);
+  const machine = createDrive(options.id, request, startedAtMs);
   const timers = new Set<NodeJS.Timeout>();
-  const watch = createLatencyWatch(startedAtMs);
+  const latencyMeter = createLatencyMeter(startedAtMs);
   let grant: Grant | null = null;
   let grantedAtMs = startedAtMs;
   let firstTokenAtMs: number | null = null;
@@ -76,11 +77,11 @@
     services,
     request,
     payload: options.payload,
-    remainingMs: () => drive.deadlineAtMs - services.nowMs(),
+    remainingMs: () => machine.deadlineAtMs - services.nowMs(),
     reader: () => grant?.reader ?? null,
     onEvent: (event) => {
-      if (event.kind === DriveEventKind.StreamFailed && isTargetsFault(event.failure.reason)) {
-        noteAttemptEnd(false, true);
+      if (event.kind === DriveEventKind.StreamFailed && isTargetFault(event.failure.reason)) {
+        recordAttemptEnd(false, true);
       }
       handle(event);
     },
@@ -88,9 +89,9 @@
 
   function handle(event: DriveEvent): void {
     if (isDone) return;
-    const effects = handleDriveEvent(drive, event, context());
+    const effects = handleDriveEvent(machine, event, context());
     for (const effect of effects) perform(effect);
-    if (drive.phase === DrivePhase.Done) finish();
+    if (machine.phase === DrivePhase.Done) finish();
   }
 
   function context(): DriveContext {
@@ -111,10 +112,10 @@
         void callHolder(effect);
         return;
       case DriveEffectKind.AskAdmission:
-        askAdmission(effect.askId, effect.avoidTargets);
+        requestAdmission(effect.askId, effect.avoidTargets);
         return;
       case DriveEffectKind.AskLoneRun:
-        void askLoneRun(effect.askId, effect.attemptId);
+        void requestLoneRun(effect.askId, effect.attemptId);
         return;
       case DriveEffectKind.SettleLoneRun:
         settleLoneRun(effect.attemptId, effect.end);
@@ -126,7 +127,7 @@
         void openSession(effect.askId, effect.sidecar, effect.verify);
         return;
       case DriveEffectKind.ForgetSession:
-        services.sessions.forget(effect.sidecar);
+        services.sessions.discard(effect.sidecar);
         return;
       case DriveEffectKind.TakeClaim:
         takeClaim(effect);
@@ -142,15 +143,15 @@
         void cancelAttempt(effect.attempt);
         return;
       case DriveEffectKind.TellTokens:
-        watch.tokens(services.nowMs(), effect.tokens.length);
+        latencyMeter.tokens(services.nowMs(), effect.tokens.length);
         firstTokenAtMs ??= services.nowMs();
         services.telemetry.count('tokens_relayed_total', effect.tokens.length);
-        if (!answer.tokens(effect.tokens, effect.eventId)) stream.holdBack();
+        if (!answer.tokens(effect.tokens, effect.eventId)) stream.pause();
         return;
       case DriveEffectKind.TellAnswer:
-        answer.finish(effect.ending, drive.tokens.length, effect.eventId);
-        services.noteAnswered(request, watch.figures(), effect.ending, options.goals);
-        noteAttemptEnd(true, false);
+        answer.finish(effect.ending, machine.tokens.length, effect.eventId);
+        services.noteAnswered(request, latencyMeter.figures(), effect.ending, options.goals);
+        recordAttemptEnd(true, false);
         return;
       case DriveEffectKind.TellRefusal: {
         const { failure, runState, retryAfterMs } = effect;
@@ -179,14 +180,14 @@
     );
   }
 
-  function askAdmission(askId: number, avoidTargets: readonly string[]): void {
-    services.policyOf(request.service).ask({
+  function requestAdmission(askId: number, avoidTargets: readonly string[]): void {
+    services.policyOf(request.service).requestPlacement({
       workspace: request.workspace,
       prompt: options.prompt,
       maxOutputTokens: options.maxOutputTokens,
       avoidTargets,
-      remainingMs: drive.deadlineAtMs - services.nowMs(),
-      isWanted: () => !isDone && drive.askId === askId,
+      remainingMs: machine.deadlineAtMs - services.nowMs(),
+      isWanted: () => !isDone && machine.askId === askId,
       onGrant: (granted) => {
         grant = granted;
         grantedAtMs = services.nowMs();
@@ -198,12 +199,15 @@
     });
   }
 
-  /** A lone run names the sidecar's incarnation, which only its session tells for certain. */
-  async function askLoneRun(askId: number, attemptId: string): Promise<void> {
-    const place = services.policyOf(request.service).pickAlone(drive.avoidTargets);
+  /**
+   * Requests a lone run. The request includes the sidecar's incarnation, which is taken from a
+   * verified session because no other source is reliable.
+   */
+  async function requestLoneRun(askId: number, attemptId: string): Promise<void> {
+    const place = services.policyOf(request.service).pickForLoneRun(machine.avoidTargets);
     const session = place === null ? null : await services.sessions.open(place.sidecar, true);
     if (place === null || session === null || session.isErr()) {
-      loneRunLater(askId);
+      postponeLoneRun(askId);
       return;
     }
     const sidecarIncarnation = incarnationOf(session.value.sessionId);
@@ -217,7 +221,7 @@
     });
   }
 
-  function loneRunLater(askId: number): void {
+  function postponeLoneRun(askId: number): void {
     const outcome = LoneRunOutcome.Later;
     const retryAfterMs = context().options.retryAfterMs;
     handle({
@@ -275,36 +279,36 @@
   }
 
   async function cancelAttempt(attempt: Attempt): Promise<void> {
-    const answered = await services.rpc.call<CancelOutcome>(
+    const cancelReply = await services.rpc.call<CancelOutcome>(
       attempt.sidecar,
       RpcMethod.AttemptCancel,
       { attempt },
       { timeoutMs: CANCEL_TIMEOUT_MS },
     );
-    // Without an answer the machine's own timer decides.
-    if (answered.isErr()) return;
-    const outcome = answered.value;
+    // Without a reply, the timer of the state machine decides.
+    if (cancelReply.isErr()) return;
+    const outcome = cancelReply.value;
     handle({ kind: DriveEventKind.CancelReplied, attemptId: attempt.id, outcome });
   }
 
   function setTimer(effect: Extract<DriveEffect, { kind: DriveEffectKind.SetTimer }>): void {
     const { timer, timerId } = effect;
-    const handleOfTimer = setTimeout(() => {
-      timers.delete(handleOfTimer);
+    const timerHandle = setTimeout(() => {
+      timers.delete(timerHandle);
       handle({ kind: DriveEventKind.TimerFired, timer, timerId });
     }, effect.afterMs);
-    timers.add(handleOfTimer);
+    timers.add(timerHandle);
   }
 
-  function noteAttemptEnd(whole: boolean, failed: boolean): void {
+  function recordAttemptEnd(whole: boolean, failed: boolean): void {
     if (grant === null) return;
     const { place, predictedFirstTokenMs } = grant;
     grant = null;
-    services.policyOf(request.service).noteEnd({
+    services.policyOf(request.service).recordAttemptEnd({
       target: place.target,
       workspace: request.workspace,
       promptTokens: estimateTokens(options.prompt),
-      outputTokens: drive.tokens.length,
+      outputTokens: machine.tokens.length,
       whole,
       failed,
       firstTokenMs: firstTokenAtMs === null ? null : firstTokenAtMs - grantedAtMs,
@@ -313,7 +317,7 @@
   }
 
   return {
-    drive,
+    machine,
     handle,
     start: () => {
       handle({ kind: DriveEventKind.CallerArrived });
@@ -331,7 +335,7 @@
         retryAfterMs,
       });
     },
-    drained: stream.readOn,
+    resume: stream.resume,
   };
 }
 
--- a/packages/daemon/src/entry/requests.ts
+++ b/packages/daemon/src/entry/requests.ts
@@ -1,6 +1,6 @@
 /**
- * The deliveries of an entry: one for each caller's connection, in a bounded table. A full table
- * refuses before anything runs.
+ * The table of an entry's active requests, one for each caller exchange. The table is bounded;
+ * while it is full, new requests are rejected before anything runs.
  */
 import { randomUUID } from 'node:crypto';
 import type { ServerResponse } from 'node:http';
@@ -18,18 +18,18 @@
 import { ENTRY_BUSY } from './failures.js';
 import type { PlainCall } from './plain-call.js';
 import { sendProblem } from './problem.js';
-import { refuseUnseen } from './refusals.js';
+import { refuseWithoutLookup } from './refusals.js';
 import { type RequestRun, type RunOptions, createRequestRun } from './request-run.js';
 import type { RunServices } from './run-services.js';
 
-/** Some 20 KB each at the most: 8,192 open answers stay under 160 MB. */
+/** Each takes at most about 20 KB, so 8,192 open answers stay under 160 MB. */
 export const MAX_RUNS = 8_192;
 
 const BUSY_RETRY_AFTER_MS = 1_000;
 const MS_PER_S = 1_000;
 const NO_GOALS: GoalsSpec = { firstTokenMs: Infinity, interTokenMs: Infinity };
 
-/** What the deliveries need. */
+/** Options of the request table. */
 export interface RequestsOptions {
   readonly entryIncarnation: string;
   readonly services: RunServices;
@@ -37,7 +37,7 @@
   readonly wallMs: () => number;
 }
 
-/** The deliveries of one entry. */
+/** The active requests of one entry. */
 export interface Requests {
   readonly model: (request: ModelRequest, response: ServerResponse) => void;
   readonly plain: (call: PlainCall, response: ServerResponse) => void;
@@ -48,26 +48,26 @@
 
 type NewRun = Omit<RunOptions, 'id' | 'services' | 'onDone'>;
 
-/** Makes an empty table. */
+/** Creates an empty request table. */
 export function createRequests(options: RequestsOptions): Requests {
   const { services } = options;
   const runs = new Map<string, RequestRun>();
-  let lastRun = 0;
+  let lastRunNumber = 0;
 
   function begin(
     response: ServerResponse,
     keyFromCaller: boolean,
-    make: (run: () => RequestRun | null) => NewRun,
+    createOptions: (run: () => RequestRun | null) => NewRun,
   ): void {
     if (runs.size >= MAX_RUNS) {
       const failure = ENTRY_BUSY.of({ limit: MAX_RUNS });
-      sendProblem(response, refuseUnseen(failure, 503, BUSY_RETRY_AFTER_MS, keyFromCaller));
+      sendProblem(response, refuseWithoutLookup(failure, 503, BUSY_RETRY_AFTER_MS, keyFromCaller));
       return;
     }
-    lastRun += 1;
-    const id = `${options.entryIncarnation}#${String(lastRun)}`;
-    const made = make(() => runs.get(id) ?? null);
-    const run = createRequestRun({ ...made, id, services, onDone: () => runs.delete(id) });
+    lastRunNumber += 1;
+    const id = `${options.entryIncarnation}#${String(lastRunNumber)}`;
+    const runOptions = createOptions(() => runs.get(id) ?? null);
+    const run = createRequestRun({ ...runOptions, id, services, onDone: () => runs.delete(id) });
     runs.set(id, run);
     response.on('close', () => {
       run.handle({ kind: DriveEventKind.CallerGone });
@@ -87,7 +87,7 @@
   return {
     model: (request, response) => {
       begin(response, request.keyFromCaller, (run) => {
-        const answer = modelAnswer(options, request, response, () => run()?.drained());
+        const answer = modelAnswer(options, request, response, () => run()?.resume());
         return toModelRun(request, answer, serviceGoals(request.service));
       });
     },
@@ -153,7 +153,7 @@
       repeatable: true,
       payload: null,
       deadlineMs: request.timeoutMs,
-      // A whole body holds everything from the start: nothing to go on from.
+      // An answer in a single body is always complete, so there is no position to resume from.
       resume: request.stream ? request.resumeFrom : null,
     },
   };
--- a/packages/daemon/src/entry/run-services.ts
+++ b/packages/daemon/src/entry/run-services.ts
@@ -1,15 +1,15 @@
-/** What every delivery of an entry shares: the drivers it calls and where its figures go. */
+/** The drivers and recorders that all requests of an entry share. */
 import type { AnswerEnding, DriveContext, DriveRequest, RunState } from '@cassiamast/coordination';
 import type { CallHolder } from '../node/holder-driver.js';
 import type { PoisonDriver } from '../node/poison-driver.js';
 import type { RpcClient } from '../node/rpc-client.js';
 import type { Telemetry } from '../node/telemetry.js';
 import type { ClaimDriver } from './claim-driver.js';
-import type { LatencyFigures } from './latency-watch.js';
+import type { LatencyMeasurements } from './latency-watch.js';
 import type { ServicePolicy } from './service-policy.js';
 import type { SessionDriver } from './session-driver.js';
 
-/** Shared by all deliveries of one entry. */
+/** Dependencies shared by all requests of one entry. */
 export interface RunServices {
   readonly nowMs: () => number;
   readonly rpc: RpcClient;
@@ -19,13 +19,13 @@
   readonly poison: PoisonDriver;
   readonly callHolder: CallHolder;
   readonly policyOf: (service: string) => ServicePolicy;
-  /** `keyIsFresh`: made by this entry for this request, so that no earlier submission exists. */
-  /** Takes in a load that came with a stream; anything malformed is passed over. */
+  /** Applies a load report that arrived with a stream; malformed reports are ignored. */
   readonly noteLoad: (params: unknown) => void;
+  /** `keyIsFresh`: this entry generated the key, so no earlier submission of the request exists. */
   readonly driveContext: (request: DriveRequest, keyIsFresh: boolean) => DriveContext;
   readonly noteAnswered: (
     request: DriveRequest,
-    figures: LatencyFigures,
+    latency: LatencyMeasurements,
     ending: AnswerEnding,
     goals: { readonly firstTokenMs: number; readonly interTokenMs: number },
   ) => void;
--- a/packages/daemon/src/entry/run-stream.ts
+++ b/packages/daemon/src/entry/run-stream.ts
@@ -1,6 +1,7 @@
 /**
- * The stream that a delivery reads: one at a time, opened or joined as the request machine asks,
- * held back while the caller is slow. What comes in it is told as events of the machine.
+ * Manages the stream from a sidecar that a request reads. At most one stream is open, either newly
+ * dispatched or attached to a running attempt. It is paused while the caller is slow, and its
+ * notifications become events of the request state machine.
  */
 import {
   type DriveEffect,
@@ -26,7 +27,7 @@
 
 const MS_PER_S = 1_000;
 
-/** Events that a stream makes. */
+/** Events that a stream emits. */
 type StreamEvent = Extract<
   DriveEvent,
   {
@@ -38,48 +39,48 @@
   }
 >;
 
-/** What a stream needs. */
+/** Options of a stream. */
 export interface RunStreamOptions {
   readonly services: RunServices;
   readonly request: DriveRequest;
   readonly payload: Payload;
   readonly remainingMs: () => number;
-  /** The engine that reads the prompt for the present attempt, or null. */
+  /** Returns the prefill engine of the current attempt, or null. */
   readonly reader: () => PrefillPlace | null;
   readonly onEvent: (event: StreamEvent) => void;
 }
 
-/** The stream of one delivery. */
+/** The stream of one request. */
 export interface RunStream {
   readonly open: (
     effect: Extract<DriveEffect, { kind: DriveEffectKind.Dispatch | DriveEffectKind.Attach }>,
   ) => void;
-  /** Closes the stream if it is this connection's. */
+  /** Closes the stream if it belongs to this connection. */
   readonly closeIf: (connectionId: number) => void;
   readonly close: () => void;
-  /** The caller is slow: nothing is read until `readOn`. */
-  readonly holdBack: () => void;
-  readonly readOn: () => void;
+  /** Stops reading until `resume`, because the caller is slow. */
+  readonly pause: () => void;
+  readonly resume: () => void;
 }
 
-/** Reasons for which the target, and not the request or the traffic, is to blame. */
-const TARGETS_FAULTS: ReadonlySet<StreamFailureReason> = new Set([
+/** Failure reasons caused by the target rather than by the request or the load. */
+const TARGET_FAULT_REASONS: ReadonlySet<StreamFailureReason> = new Set([
   StreamFailureReason.ConnectionLost,
   StreamFailureReason.Lost,
   StreamFailureReason.EngineFailed,
   StreamFailureReason.EngineCrashed,
 ]);
 
-/** Whether a failed stream speaks against its target. */
-export function isTargetsFault(reason: StreamFailureReason): boolean {
-  return TARGETS_FAULTS.has(reason);
+/** Returns whether a stream failure counts as a failure of its target. */
+export function isTargetFault(reason: StreamFailureReason): boolean {
+  return TARGET_FAULT_REASONS.has(reason);
 }
 
-/** Makes the stream; nothing is open yet. */
+/** Creates a stream manager without an open stream. */
 export function createRunStream(options: RunStreamOptions): RunStream {
   const { services } = options;
-  let open: { readonly connectionId: number; readonly reading: MemberStream } | null = null;
-  let isHeldBack = false;
+  let current: { readonly connectionId: number; readonly memberStream: MemberStream } | null = null;
+  let isPaused = false;
 
   function payloadFor(): Payload {
     const { payload } = options;
@@ -120,44 +121,47 @@
       const { connectionId, attempt, record } = effect;
       const isDispatch = effect.kind === DriveEffectKind.Dispatch;
       const method = isDispatch ? RpcMethod.StreamOpen : RpcMethod.StreamAttach;
-      const { continueFrom, remainingMs } = isDispatch ? effect : NO_DISPATCH;
+      const { continueFrom, remainingMs } = isDispatch ? effect : NO_DISPATCH_FIELDS;
       const params = isDispatch
         ? { attempt, record, continueFrom, remainingMs, payload: payloadFor() }
         : { attempt, record, fromIndex: effect.fromIndex };
       const handlers = handlersOf(connectionId);
-      const reading = services.rpc.stream(attempt.sidecar, method, params, handlers);
-      open = { connectionId, reading };
-      if (isHeldBack) reading.pause();
+      const memberStream = services.rpc.stream(attempt.sidecar, method, params, handlers);
+      current = { connectionId, memberStream };
+      if (isPaused) memberStream.pause();
     },
     closeIf: (connectionId) => {
-      if (open?.connectionId !== connectionId) return;
-      open.reading.close();
-      open = null;
+      if (current?.connectionId !== connectionId) return;
+      current.memberStream.close();
+      current = null;
     },
     close: () => {
-      open?.reading.close();
-      open = null;
+      current?.memberStream.close();
+      current = null;
     },
-    holdBack: () => {
-      isHeldBack = true;
-      open?.reading.pause();
+    pause: () => {
+      isPaused = true;
+      current?.memberStream.pause();
     },
-    readOn: () => {
-      isHeldBack = false;
-      open?.reading.resume();
+    resume: () => {
+      isPaused = false;
+      current?.memberStream.resume();
     },
   };
 }
 
-/** A plain service that calls on within its own work must be done before its caller's deadline. */
+/**
+ * Sets the `prefer: wait` header to the remaining time, so that a plain service that makes further
+ * calls completes before its caller's deadline.
+ */
 function withDeadline(payload: PlainPayload, remainingMs: number): PlainPayload {
-  const passed = passOnBudget({ remainingMs, retriesLeft: 0 }, 0);
-  if (passed === null) return payload;
-  const waitS = Math.max(1, Math.floor(passed.remainingMs / MS_PER_S));
+  const forwardedBudget = passOnBudget({ remainingMs, retriesLeft: 0 }, 0);
+  if (forwardedBudget === null) return payload;
+  const waitS = Math.max(1, Math.floor(forwardedBudget.remainingMs / MS_PER_S));
   return { ...payload, headers: { ...payload.headers, prefer: `wait=${String(waitS)}` } };
 }
 
-const NO_DISPATCH = { continueFrom: [], remainingMs: 0 } as const;
+const NO_DISPATCH_FIELDS = { continueFrom: [], remainingMs: 0 } as const;
 
 const CONNECTION_LOST = {
   reason: StreamFailureReason.ConnectionLost,
--- a/packages/daemon/src/entry/service-directory.ts
+++ b/packages/daemon/src/entry/service-directory.ts
@@ -1,4 +1,4 @@
-/** Finds the service that a caller's model name or path means. */
+/** Resolves a caller's model name or path to the configured service. */
 import {
   type CallSpec,
   type Configuration,
@@ -8,14 +8,14 @@
 
 const ADAPTER_SEPARATOR = ':';
 
-/** A model name as a caller wrote it, taken apart. */
+/** A parsed model name and the service that provides the model. */
 export interface ModelChoice {
   readonly service: ServiceSpec;
   readonly model: string;
   readonly adapter: string | null;
 }
 
-/** Finds the service of `model` or `model:adapter`; null when none has it. */
+/** Finds the service for `model` or `model:adapter`; returns null when there is none. */
 export function findModel(configuration: Configuration, modelText: string): ModelChoice | null {
   const separator = modelText.indexOf(ADAPTER_SEPARATOR);
   const model = separator < 0 ? modelText : modelText.slice(0, separator);
@@ -29,7 +29,7 @@
   return null;
 }
 
-/** The names callers may use as `model`. */
+/** Returns the names that callers may use as `model`. */
 export function listModels(configuration: Configuration): readonly string[] {
   return configuration.services.flatMap((service) =>
     service.models.flatMap((model) => [
@@ -39,21 +39,22 @@
   );
 }
 
-/** The plain service of this name. */
+/** Finds a plain service by name; returns null when there is none. */
 export function findPlainService(configuration: Configuration, name: string): ServiceSpec | null {
   const service = configuration.services.find((candidate) => candidate.name === name);
   return service?.kind === TargetKind.PlainService ? service : null;
 }
 
 /**
- * Whether a call of a plain service may be repeated. The longest matching prefix decides; a path
- * that the operators did not list is treated as one that may not be.
+ * Returns whether a call to a plain service may be repeated. The longest matching prefix decides;
+ * paths that are not configured must not be repeated.
  */
 export function isRepeatable(service: ServiceSpec, path: string): boolean {
-  let best: CallSpec | null = null;
+  let longestMatch: CallSpec | null = null;
   for (const call of service.calls) {
     if (!path.startsWith(call.pathPrefix)) continue;
-    if (best === null || call.pathPrefix.length > best.pathPrefix.length) best = call;
+    if (longestMatch === null || call.pathPrefix.length > longestMatch.pathPrefix.length)
+      longestMatch = call;
   }
-  return best?.repeatable ?? false;
+  return longestMatch?.repeatable ?? false;
 }
--- a/packages/daemon/src/entry/service-policy.ts
+++ b/packages/daemon/src/entry/service-policy.ts
@@ -1,35 +1,35 @@
 /**
- * Where a request may run: one policy per service, asked by the request machine for each attempt.
- * The answer comes at once or when the request's turn in the fair queue has come.
+ * The interface of a service's placement policy, which assigns a target to each attempt of a
+ * request. The result arrives immediately or when the request reaches the head of the fair queue.
  */
 import type { Place } from '@cassiamast/coordination';
 import type { PrefillPlace } from '../protocol/stream.js';
 
-/** Where an attempt may run. */
+/** The placement granted to an attempt. */
 export interface Grant {
   readonly place: Place;
-  /** The engine that reads the prompt, where another one writes the answer. */
+  /** The prefill engine, when it differs from the decode engine. */
   readonly reader: PrefillPlace | null;
-  /** What slowness is judged against; null where nothing was predicted. */
+  /** Predicted time to first token, used to detect slow targets; null without a prediction. */
   readonly predictedFirstTokenMs: number | null;
 }
 
-/** An attempt that wants a place. */
-export interface PlaceQuestion {
+/** A request for the placement of an attempt. */
+export interface PlacementRequest {
   readonly workspace: string;
   readonly prompt: string;
   readonly maxOutputTokens: number;
-  /** Targets that failed this request; to be avoided where others serve. */
+  /** Targets that failed this request; avoided when others are available. */
   readonly avoidTargets: readonly string[];
-  /** How long the request may still take in all. */
+  /** Time until the request's deadline. */
   readonly remainingMs: number;
   readonly onGrant: (grant: Grant) => void;
   readonly onRefusal: (reason: string, retryAfterMs: number) => void;
-  /** Whether the asker still wants the place. */
+  /** Returns whether the requester still needs the placement. */
   readonly isWanted: () => boolean;
 }
 
-/** How an attempt came to its end. */
+/** The outcome of an attempt. */
 export interface AttemptEnd {
   readonly target: string;
   readonly workspace: string;
@@ -43,12 +43,15 @@
 
 /** The policy of one service at one entry. */
 export interface ServicePolicy {
-  readonly ask: (question: PlaceQuestion) => void;
-  /** A place without queueing, for a lone run of a suspect; null when no target is free. */
-  readonly pickAlone: (avoidTargets: readonly string[]) => Place | null;
-  readonly noteEnd: (end: AttemptEnd) => void;
-  /** To be called every few milliseconds while requests wait. */
+  readonly requestPlacement: (question: PlacementRequest) => void;
+  /**
+   * Returns a target without queueing, for a lone run: an attempt of a suspected crash-causing
+   * request that runs without any other request beside it. Null when no target is available.
+   */
+  readonly pickForLoneRun: (avoidTargets: readonly string[]) => Place | null;
+  readonly recordAttemptEnd: (end: AttemptEnd) => void;
+  /** Must be called every few milliseconds while requests are queued. */
   readonly pump: () => void;
-  /** Targets whose load reports this entry wants. */
+  /** Returns the targets whose load reports this entry needs. */
   readonly subset: () => readonly string[];
 }
--- a/packages/daemon/src/entry/session-driver.ts
+++ b/packages/daemon/src/entry/session-driver.ts
@@ -1,4 +1,7 @@
-/** Dispatch sessions of this entry at the sidecars: asked for once, counted, forgotten on refusal. */
+/**
+ * Maintains this entry's dispatch sessions at the sidecars. A session is opened once, numbers each
+ * dispatch, and is discarded when the sidecar rejects it.
+ */
 import {
   type Failure,
   createEntrySessions,
@@ -10,28 +13,31 @@
 import type { RpcClient } from '../node/rpc-client.js';
 import { RpcMethod } from '../protocol/methods.js';
 
-/** At the target size an entry knows a few hundred sidecars; more are asked for anew. */
+/**
+ * At the intended fleet size, an entry has sessions with a few hundred sidecars. Sessions evicted
+ * above this limit are opened again on demand.
+ */
 const MAX_SIDECARS = 1_024;
 const OPEN_TIMEOUT_MS = 1_000;
 
-/** A place in a session for one dispatch. */
-export interface SessionPlace {
+/** The session and sequence number of one dispatch. */
+export interface SessionSequence {
   readonly sessionId: string;
   readonly sequence: number;
 }
 
 /** The sessions of one entry. */
 export interface SessionDriver {
-  /** `verify` asks the sidecar even when a session is at hand. */
-  readonly open: (sidecar: string, verify: boolean) => ResultAsync<SessionPlace, Failure>;
-  readonly forget: (sidecar: string) => void;
+  /** Opens a session or reuses the open one; `verify` always contacts the sidecar. */
+  readonly open: (sidecar: string, verify: boolean) => ResultAsync<SessionSequence, Failure>;
+  readonly discard: (sidecar: string) => void;
 }
 
-/** Makes the sessions; `entryIncarnation` is unique for this process. */
+/** Creates the session driver; `entryIncarnation` is unique to this process. */
 export function createSessionDriver(rpc: RpcClient, entryIncarnation: string): SessionDriver {
   const sessions = createEntrySessions(MAX_SIDECARS);
 
-  function ask(sidecar: string): ResultAsync<SessionPlace, Failure> {
+  function openSession(sidecar: string): ResultAsync<SessionSequence, Failure> {
     return rpc
       .call<string>(
         sidecar,
@@ -47,16 +53,16 @@
 
   return {
     open: (sidecar, verify) => {
-      const known = verify ? null : takeSequence(sessions, sidecar);
-      return known === null ? ask(sidecar) : okAsync(known);
+      const knownSequence = verify ? null : takeSequence(sessions, sidecar);
+      return knownSequence === null ? openSession(sidecar) : okAsync(knownSequence);
     },
-    forget: (sidecar) => {
+    discard: (sidecar) => {
       forgetSession(sessions, sidecar);
     },
   };
 }
 
-/** Incarnation of the sidecar that gave a session. */
+/** Returns the incarnation of the sidecar that issued a session. */
 export function incarnationOf(sessionId: string): string {
   return sessionId.slice(0, sessionId.lastIndexOf('.'));
 }
--- a/packages/daemon/src/entry/target-directory.ts
+++ b/packages/daemon/src/entry/target-directory.ts
@@ -1,6 +1,6 @@
 /**
- * Which targets of each service take new work, from every sign there is: the operators' text, the
- * membership, the platform's list. Kept per service and worked out anew when a sign changes.
+ * Determines which targets of each service accept new work. Combines the leaving signs from the
+ * operators' configuration, the membership and the platform's VM list.
  */
 import {
   type Configuration,
@@ -14,24 +14,24 @@
 } from '@cassiamast/coordination';
 import { formatAddress } from '../node/address.js';
 
-/** Where the signs come from. */
+/** Sources of the leaving signs. */
 export interface TargetDirectoryOptions {
   readonly configuration: () => Configuration | null;
   readonly findMember: (memberId: string) => Member | undefined;
   readonly listedLeaving: (memberId: string) => boolean | null;
 }
 
-/** Answers for the services in force. */
+/** Looks up the services and targets of the current configuration. */
 export interface TargetDirectory {
   readonly service: (name: string) => ServiceSpec | null;
-  /** Targets that take new work. */
+  /** Returns the targets that accept new work. */
   readonly open: (service: string) => readonly TargetSpec[];
-  /** All targets as a router wants them. */
+  /** Returns all targets in the form that routers use. */
   readonly infos: (service: string) => readonly TargetInfo[];
   readonly isOpen: (target: TargetSpec) => boolean;
 }
 
-/** Makes the directory. */
+/** Creates the target directory. */
 export function createTargetDirectory(options: TargetDirectoryOptions): TargetDirectory {
   function service(name: string): ServiceSpec | null {
     const services = options.configuration()?.services ?? [];
@@ -39,30 +39,30 @@
   }
 
   function isOpen(target: TargetSpec): boolean {
-    return hasNoSign(target, stateOf(target));
+    return hasNoLeavingSign(target, stateOf(target));
   }
 
   function stateOf(target: TargetSpec): MemberState | null {
     return options.findMember(formatAddress(target.sidecar))?.state ?? null;
   }
 
-  function hasNoSign(target: TargetSpec, sidecar: MemberState | null): boolean {
+  function hasNoLeavingSign(target: TargetSpec, sidecar: MemberState | null): boolean {
     const listedLeaving = options.listedLeaving(formatAddress(target.sidecar));
     const { withdrawn } = target;
     return combineLeavingSigns({ withdrawn, sidecar, listedLeaving }).length === 0;
   }
 
   /**
-   * The targets that take new work. Guards a service whose targets are all suspect, as when this
-   * entry itself stood still for a while: it would refuse everything although nothing is wrong. A
-   * suspect that serves is worth a try where the alternative is to refuse.
+   * Returns the targets that accept new work, or the suspects when there are none. An event loop
+   * stall of this entry can make it suspect all targets although they work. Trying a suspect is
+   * better than rejecting every request.
    */
   function openTargets(name: string): readonly TargetSpec[] {
     const targets = service(name)?.targets ?? [];
     const open = targets.filter(isOpen);
     if (open.length > 0) return open;
     const suspects = targets.filter((target) => stateOf(target) === MemberState.Suspect);
-    return suspects.filter((target) => hasNoSign(target, MemberState.Alive));
+    return suspects.filter((target) => hasNoLeavingSign(target, MemberState.Alive));
   }
 
   return {
@@ -74,7 +74,7 @@
       return (service(name)?.targets ?? []).map((target) => ({
         name: target.name,
         failureDomain: target.failureDomain,
-        // Taken over from the first report; until then the role that suits any request.
+        // A role that suits any request, until the first load report provides the actual role.
         role: EngineRole.Mixed,
         accepting: open.has(target.name),
       }));
--- a/packages/daemon/src/entry/target-gauges.ts
+++ b/packages/daemon/src/entry/target-gauges.ts
@@ -1,11 +1,12 @@
 /**
- * Which targets take work, by what this entry knows and by what its router acts on: two views that
- * differ only for a moment. Where they differ for longer, the router was not told of a change.
+ * Sets gauges that compare which targets accept work according to the target directory and
+ * according to the router. The two should differ only briefly; a lasting difference means that the
+ * router was not notified of a change.
  */
 import type { Policies } from './policies.js';
 import type { TargetDirectory } from './target-directory.js';
 
-/** Where the views come from. */
+/** Sources and sink of the gauges. */
 export interface TargetGaugesOptions {
   readonly services: () => readonly { readonly name: string }[];
   readonly directory: Pick<TargetDirectory, 'infos'>;
@@ -13,7 +14,7 @@
   readonly gauge: (name: string, valueByTarget: ReadonlyMap<string, number>) => void;
 }
 
-/** Sets `target_open` and `target_routed`, 1 or 0 by target of a model service. */
+/** Sets `target_open` and `target_routed` to 1 or 0 for each target of the model services. */
 export function setTargetGauges({
   services,
   directory,
