--- a/packages/daemon/test/entry/caller-server.test.ts
+++ b/packages/daemon/test/entry/caller-server.test.ts
@@ -1,4 +1,4 @@
-/** The callers' port of an entry that stops, with callers on connections that are kept. */
+/** Tests the HTTP server for callers during shutdown, with callers on keep-alive connections. */
 import assert from 'node:assert/strict';
 import type { ServerResponse } from 'node:http';
 import { afterEach, beforeEach, describe, it } from 'node:test';
@@ -9,7 +9,7 @@
 import { waitFor } from '../fixtures/wait-for.js';
 
 const HOST = '127.0.0.1';
-/** More than the buffers of both ends of a connection hold. */
+/** Larger than the socket buffers on both ends of a connection. */
 const LARGE_ANSWER = Buffer.alloc(32 * 1024 * 1024, 'x');
 const WORKSPACE: WorkspaceSpec = {
   name: 'inspectors',
@@ -49,7 +49,7 @@
   return `${method} /services/portal/ HTTP/1.1\r\n${fields.join('\r\n')}\r\n\r\n`;
 }
 
-describe("an entry's port for callers", () => {
+describe('caller server', () => {
   let port: number;
   let callers: CallerServer;
   let isLeaving: boolean;
@@ -77,7 +77,7 @@
   });
   afterEach(() => callers.child.stop());
 
-  it('counts a request as open from its head to the end of its answer', async () => {
+  it('counts a request as open from its headers until its answer is sent', async () => {
     const caller = callRaw(port);
     caller.socket.write(head('POST', 4));
     await waitFor(() => callers.open() === 1);
@@ -89,7 +89,7 @@
     caller.socket.destroy();
   });
 
-  it('answers a request whose body comes while it stops', async () => {
+  it('answers a request whose body arrives during shutdown', async () => {
     const caller = callRaw(port);
     caller.socket.write(head('POST', 4));
     await waitFor(() => callers.open() === 1);
@@ -102,8 +102,9 @@
     assert.match(caller.text(), /connection: close[^]*done$/i);
   });
 
-  // Guards against an answer that is cut by a stop since its caller reads it slowly.
-  it('sends all of an answer that was ended before it stops', async () => {
+  // A slow reader leaves part of its answer in the send buffer. Closing the connection at shutdown
+  // would truncate that answer.
+  it('sends a complete answer that was ended before the shutdown', async () => {
     const caller = callRaw(port);
     caller.socket.pause();
     caller.socket.write(head('GET', 0));
@@ -117,8 +118,8 @@
     assert.equal(caller.text().split('\r\n\r\n')[1]?.length, LARGE_ANSWER.length);
   });
 
-  // Guards against callers who are held by a kept connection to an entry that refuses them.
-  it('asks callers to connect anew from the time that the entry leaves', async () => {
+  // Keep-alive connections would bind callers to a leaving entry, which rejects their retries.
+  it('closes keep-alive connections once the entry is leaving', async () => {
     const caller = callRaw(port);
     caller.socket.write(head('GET', 0));
     await waitFor(() => waiting.length === 1);
@@ -133,8 +134,8 @@
     assert.match(caller.text(), /connection: close/i);
   });
 
-  // Guards against a stop that waits for ever for a peer that connects and says nothing.
-  it('stops though a peer says nothing', async () => {
+  // A peer that connects without sending a request would otherwise block the shutdown forever.
+  it('shuts down while a connected peer sends nothing', async () => {
     const caller = callRaw(port);
     await new Promise((resolve) => caller.socket.once('connect', resolve));
     await callers.child.stop();
--- a/packages/daemon/test/entry/target-directory.test.ts
+++ b/packages/daemon/test/entry/target-directory.test.ts
@@ -1,4 +1,4 @@
-/** Which targets take new work, by every sign there is. */
+/** Tests which targets accept new work for each combination of leaving signs. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import {
@@ -75,9 +75,9 @@
   return directory.open(SERVICE).map((target) => target.name);
 }
 
-describe('the directory of targets', () => {
+describe('target directory', () => {
   describe('with some targets alive', () => {
-    it('leaves out the suspect, the leaving and the dead', () => {
+    it('excludes suspect, leaving and dead targets', () => {
       const directory = directoryOf({
         a: MemberState.Alive,
         b: MemberState.Suspect,
@@ -89,16 +89,16 @@
   });
 
   describe('with no target alive', () => {
-    // An entry stood still for two seconds and suspects every target; all of them serve. Refusing
-    // would send its callers away although nothing is wrong.
-    it('tries the suspects rather than refuse', () => {
+    // After an event loop stall of two seconds, an entry suspects every target although all of them
+    // work. Excluding suspects would reject every request.
+    it('falls back to suspect targets', () => {
       const directory = directoryOf({ a: MemberState.Suspect, b: MemberState.Dead });
       assert.deepEqual(openNames(directory), ['a']);
       const accepting = directory.infos(SERVICE).map((info) => info.accepting);
       assert.deepEqual(accepting, [true, false]);
     });
 
-    it('tries no suspect that the operators have withdrawn', () => {
+    it('excludes suspect targets that the operators have withdrawn', () => {
       const directory = directoryOf({ a: MemberState.Suspect, b: MemberState.Suspect }, 'a');
       assert.deepEqual(openNames(directory), ['b']);
     });
--- a/packages/daemon/test/entry/target-gauges.test.ts
+++ b/packages/daemon/test/entry/target-gauges.test.ts
@@ -1,13 +1,14 @@
-/** The gauges that tell what an entry knows of its targets from what its router acts on. */
+/** Tests the gauges that compare the target directory with the router's view. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { EngineRole } from '@cassiamast/coordination';
 import type { Policies } from '../../src/entry/policies.js';
 import { setTargetGauges } from '../../src/entry/target-gauges.js';
 
-describe('gauges of targets', () => {
-  // Guards against a router that was not told of its targets, while all else looks well.
-  it('tell a target that is open and not routed to', () => {
+describe('target gauges', () => {
+  // A router that missed a target update ignores a working target, while everything else looks
+  // healthy.
+  it('show a target that is open but not routed to', () => {
     const gauges = new Map<string, ReadonlyMap<string, number>>();
     const views = new Map([['told', { accepting: true }]]);
     const info = { failureDomain: 'fd', role: EngineRole.Mixed, accepting: true };
--- a/packages/daemon/test/entry/whole-path.test.ts
+++ b/packages/daemon/test/entry/whole-path.test.ts
@@ -1,4 +1,4 @@
-/** The whole path: a caller's request through entry, sidecar and engine, and the answer back. */
+/** Tests the path of a caller's request through entry, sidecar and engine, and its answer. */
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
 import { AnswerVerdict, checkAnswer } from '@cassiamast/stand-ins';
@@ -8,7 +8,7 @@
 const PROMPT = 'Defect entry 14: corrosion at frame 27, within limits per task card 53-11.';
 const MAX_TOKENS = 24;
 
-describe('the whole path', () => {
+describe('end-to-end path', () => {
   let fleet: Fleet;
   let openai: OpenAI;
 
@@ -53,7 +53,7 @@
   });
 
   describe('refusals', () => {
-    it('refuses an unknown key as not run', async () => {
+    it('rejects an unknown API key as not run', async () => {
       const response = await fetch(`${fleet.url(0)}/v1/completions`, {
         method: 'POST',
         headers: { authorization: 'Bearer nobody' },
@@ -65,7 +65,7 @@
       assert.equal(problem.runState, 'not-run');
     });
 
-    it('names every fault of a body', async () => {
+    it('lists every fault of a body', async () => {
       const response = await fetch(`${fleet.url(0)}/v1/completions`, {
         method: 'POST',
         headers: { authorization: `Bearer ${API_KEY}` },
