--- a/packages/coordination/src/core/authority/failures.ts
+++ b/packages/coordination/src/core/authority/failures.ts
@@ -1,7 +1,10 @@
-/** Failures of authority and orders. Each says whether the order may have had an effect. */
+/**
+ * Failures of fencing and of orders to engines. Each message states whether the order may have had
+ * an effect on the engine.
+ */
 import { defineFailure } from '../failures/failure.js';
 
-/** The sidecar does not know yet whom to obey. */
+/** The sidecar has just started and does not know the current fencing token yet. */
 export const authorityNotLearned = defineFailure({
   name: 'authority-not-learned',
   title: 'The sidecar has just started',
@@ -11,7 +14,7 @@
   hint: 'Nothing to do: the planner asks again.',
 });
 
-/** The planner's fencing number is lower than one already seen. */
+/** The planner's fencing token is lower than one that the sidecar has already seen. */
 export const fenceTooOld = defineFailure({
   name: 'fence-too-old',
   title: 'The order comes from a planner that was replaced',
@@ -21,7 +24,7 @@
   hint: 'Nothing to do: the present planner decides anew.',
 });
 
-/** The engine already carries out an order. */
+/** The engine is still executing another order. */
 export const orderBusy = defineFailure({
   name: 'order-busy',
   title: 'An order is being carried out',
@@ -29,7 +32,7 @@
   hint: 'Nothing to do: the planner waits for its end.',
 });
 
-/** The ticket is unknown, used, replaced by a later one, or too old. */
+/** The ticket is unknown, already used, replaced by a later one, or expired. */
 export const ticketInvalid = defineFailure({
   name: 'ticket-invalid',
   title: 'The ticket of the order is not valid',
@@ -38,7 +41,7 @@
   hint: 'Nothing to do: the planner asks for a fresh ticket if it still wants the change.',
 });
 
-/** The lease key names another planner. */
+/** The lease key names another planner, or nobody holds the lease. */
 export const authorityLost = defineFailure({
   name: 'authority-lost',
   title: 'The planner no longer holds the lease',
@@ -57,7 +60,7 @@
   hint: 'Role changes and loads wait until the key-value service is back; requests go on.',
 });
 
-/** The engine refused the order or lost it by a restart. */
+/** The order was not executed: no authority or ticket, a rejection by the engine, or a restart. */
 export const orderNotDone = defineFailure({
   name: 'order-not-done',
   title: 'The engine did not carry the order out',
--- a/packages/coordination/src/core/authority/gate-state.ts
+++ b/packages/coordination/src/core/authority/gate-state.ts
@@ -1,59 +1,71 @@
-/** The state of an engine's gate, its settings and what it asks its process to do. */
+/**
+ * Types and options of the gate that a sidecar keeps in front of its engine: the state of the gate
+ * and the effects that the sidecar process executes for it.
+ */
 import type { Order, OrderReport } from './orders.js';
 
-/** Kinds of gate effects. */
+/** The kinds of {@link GateEffect}. */
 export enum GateEffectKind {
-  /** Read the service's lease key; feed `gateLeaseRead` or `gateLeaseReadFailed` with the `readId`. */
+  /**
+   * Read the service's lease key, then call `gateLeaseRead` or `gateLeaseReadFailed` with the
+   * `readId`.
+   */
   ReadLease = 'read-lease',
-  /** Hand the order to the engine at once; feed `engineAnswered` or `engineAnswerLost`. */
+  /** Send the order to the engine at once, then call `engineAnswered` or `engineAnswerLost`. */
   SendOrder = 'send-order',
   /**
-   * Read the engine's state; feed `engineRead` with the `readId`. A failure needs no answer: it is
-   * read again.
+   * Read the engine's state, then call `engineRead` with the `readId`. A failed read need not be
+   * reported: the gate requests another one.
    */
   ReadEngine = 'read-engine',
   /** The order ended. */
   Finished = 'finished',
 }
 
-/** An effect of the gate. */
+/** An action that the gate requests from its process. */
 export type GateEffect =
   | {
       readonly kind: GateEffectKind.ReadLease | GateEffectKind.ReadEngine;
-      /** Tells the answer to this read from a late answer to an earlier one. */
+      /** Distinguishes the answer to this read from a late answer to an earlier one. */
       readonly readId: number;
     }
   | { readonly kind: GateEffectKind.SendOrder; readonly order: Order }
   | { readonly kind: GateEffectKind.Finished; readonly report: OrderReport };
 
-/** Guards; each prevents one failure that the design note names. */
+/** Switches for the safety rules of the gate. The fuzzer turns off one at a time. */
 export interface GateGuards {
+  /** Whether no ticket is issued before the fencing token and an idle engine were seen. */
   readonly learnsFirst: boolean;
+  /** Whether an order needs a valid, unused ticket. */
   readonly ticketIsChecked: boolean;
+  /** Whether an order is sent only if the lease key still names its planner. */
   readonly leaseIsReadBack: boolean;
+  /** Whether a lease read older than `checkToActMs` is repeated. */
   readonly rereadsAfterPause: boolean;
+  /** Whether an order is rejected while another one is running. */
   readonly oneAtATime: boolean;
+  /** Whether the engine's state is read after a lost answer, instead of sending the order again. */
   readonly readsBack: boolean;
 }
 
-/** Settings of a gate. */
+/** Options of a gate. */
 export interface GateOptions {
-  /** Validity of a ticket on the gate's clock: a round trip, with room for a slow key-value read. */
+  /** Lifetime of a ticket on the gate's clock: covers a round trip and a slow key-value read. */
   readonly ticketValidMs: number;
-  /** Oldest lease read that is acted on. */
+  /** Maximum age of a lease read on which an order is sent. */
   readonly checkToActMs: number;
   /**
-   * An engine takes an order up within this time of its being written, or never: what a successor of
-   * a killed sidecar waits before it gives the first order.
+   * An engine starts an order within this time after it was written to the connection, or never.
+   * The successor of a killed sidecar waits this long before it reads the engine's state.
    */
-  readonly quietAfterStartMs: number;
+  readonly orderPickupMs: number;
   readonly readBackIntervalMs: number;
-  /** An engine that has not answered after this is asked for its state. */
-  readonly engineAnswerMs: number;
+  /** Time without an answer after which the engine's state is read instead. */
+  readonly engineAnswerTimeoutMs: number;
   readonly guards: GateGuards;
 }
 
-/** The default guards: all in place. */
+/** The default switches: every safety rule is on. */
 export const GATE_GUARDS: GateGuards = {
   learnsFirst: true,
   ticketIsChecked: true,
@@ -63,27 +75,27 @@
   readsBack: true,
 };
 
-/** The default settings; see docs/design/authority.md. */
+/** The default options; see docs/design/authority.md. */
 export const GATE_OPTIONS: GateOptions = {
   ticketValidMs: 5_000,
   checkToActMs: 1_000,
-  quietAfterStartMs: 5_000,
+  orderPickupMs: 5_000,
   readBackIntervalMs: 500,
-  engineAnswerMs: 10_000,
+  engineAnswerTimeoutMs: 10_000,
   guards: GATE_GUARDS,
 };
 
-/** Ended orders that are remembered for planners whose answer was lost. */
+/** Number of finished orders that are kept for planners whose answer was lost. */
 export const MAX_FINISHED_ORDERS = 16;
 
-/** Where the one order under way stands. */
+/** The phase of the running order. */
 export enum GatePhase {
   Verifying = 'verifying',
   Sent = 'sent',
   ReadingBack = 'reading-back',
 }
 
-/** The order under way. */
+/** The order that the gate is processing. */
 export interface RunningOrder {
   readonly order: Order;
   readonly planner: string;
@@ -93,28 +105,28 @@
   leaseReadSentAtMs: number;
   sentAtMs: number;
   readBackAtMs: number;
-  /** The engine's epoch when the order was taken; null when it was not known. */
+  /** The engine's epoch when the order was accepted; null if it was not known. */
   readonly epoch: string | null;
 }
 
-/** What the gate needs at each step. */
+/** The inputs of each step of the gate. */
 export interface GateContext {
   readonly nowMs: number;
   /** A new unguessable id. */
   readonly newId: () => string;
 }
 
-/** The state of one engine's gate. */
+/** The state of the gate of one engine. */
 export interface GateState {
   readonly options: GateOptions;
   readonly target: string;
   readonly startedAtMs: number;
-  /** Whether the current fencing number and an idle engine were seen since the start. */
+  /** Whether the current fencing token and an idle engine were seen since the start. */
   learned: boolean;
-  leaseLearned: boolean;
-  learnAtMs: number;
+  leaseWasRead: boolean;
+  nextLearnAtMs: number;
   lastReadId: number;
-  /** The latest read of the engine. */
+  /** The latest read of the engine that was requested. */
   engineReadSent: { readonly readId: number; readonly sentAtMs: number };
   highestFence: number;
   engineEpoch: string | null;
@@ -128,15 +140,15 @@
   readonly finished: OrderReport[];
 }
 
-/** A gate that has just started and obeys nobody yet. */
+/** Creates the state of a gate that has just started and issues no tickets yet. */
 export function createGate(target: string, options: GateOptions, nowMs: number): GateState {
   return {
     options,
     target,
     startedAtMs: nowMs,
     learned: false,
-    leaseLearned: false,
-    learnAtMs: nowMs,
+    leaseWasRead: false,
+    nextLearnAtMs: nowMs,
     lastReadId: 0,
     engineReadSent: { readId: 0, sentAtMs: nowMs },
     highestFence: 0,
--- a/packages/coordination/src/core/authority/index.ts
+++ b/packages/coordination/src/core/authority/index.ts
@@ -1,4 +1,4 @@
-/** Authority: the planner's lease, the gate in front of each engine, and giving an order. */
+/** The planner's lease, the gate in front of each engine, and the planner's side of an order. */
 export * from './failures.js';
 export * from './gate-state.js';
 export * from './lease-holder.js';
--- a/packages/coordination/src/core/authority/lease-holder.ts
+++ b/packages/coordination/src/core/authority/lease-holder.ts
@@ -1,27 +1,30 @@
 /**
- * The planner's lease: taken by compare-and-swap under a lease of the key-value service, kept alive,
- * given up cleanly, and treated as lost on the holder's own clock well before it can lapse. The
- * create revision of the key is the fencing number of every order.
+ * State machine of the lease that elects the one planner of a service. A candidate creates the
+ * lease key by compare-and-swap, bound to a lease of the key-value service, and renews that lease.
+ * The holder stops acting on its own clock before the lease can expire. The create revision of the
+ * key is the fencing token of every order.
  */
 import type { Random } from '../random/random.js';
 
-/** Kinds of lease effects. */
+/** The kinds of {@link LeaseEffect}. */
 export enum LeaseEffectKind {
-  /** Read the lease key; feed `leaseKeyRead` or `leaseCallFailed`. */
+  /** Read the lease key, then call `leaseKeyRead` or `leaseCallFailed`. */
   ReadKey = 'read-key',
-  /** Feed `leaseGranted` or `leaseCallFailed`. */
+  /** Request a lease, then call `leaseGranted` or `leaseCallFailed`. */
   GrantLease = 'grant-lease',
-  /** Create the key if absent, bound to the lease; feed `leaseKeyTaken` or `leaseCallFailed`. */
+  /**
+   * Create the key if absent, bound to the lease, then call `leaseKeyTaken` or `leaseCallFailed`.
+   */
   TakeKey = 'take-key',
-  /** Feed `leaseKeptAlive` or `leaseCallFailed`. */
+  /** Renew the lease, then call `leaseKeptAlive` or `leaseCallFailed`. */
   KeepAlive = 'keep-alive',
-  /** Best effort; the answer is not needed. */
+  /** Revoke the lease on a best-effort basis; the answer is not needed. */
   Revoke = 'revoke',
   Gained = 'gained',
   Lost = 'lost',
 }
 
-/** An effect of the lease machine. */
+/** An action that the lease state machine requests from its process. */
 export type LeaseEffect =
   | { readonly kind: LeaseEffectKind.ReadKey }
   | { readonly kind: LeaseEffectKind.GrantLease; readonly ttlMs: number }
@@ -30,40 +33,42 @@
   | { readonly kind: LeaseEffectKind.Gained; readonly fence: number }
   | { readonly kind: LeaseEffectKind.Lost; readonly fence: number; readonly reason: string };
 
-/** Where the machine stands. */
+/** The phases of the lease state machine. */
 export enum LeasePhase {
   Idle = 'idle',
-  Looking = 'looking',
+  ReadingKey = 'looking',
   Granting = 'granting',
   Taking = 'taking',
-  /** The answer to taking the key was lost: the key says who holds it. */
+  /** The answer to creating the key was lost; the key is read to find out who holds it. */
   ReadingBack = 'reading-back',
   Held = 'held',
 }
 
-/** Guards; each prevents one failure that the design note names. */
+/** Switches for the safety rules of the lease. The fuzzer turns off one at a time. */
 export interface LeaseGuards {
-  /** Whether the holder stops on its own clock before the lease can lapse. */
+  /** Whether the holder stops on its own clock before the lease can expire. */
   readonly fencesItself: boolean;
-  /** Whether a new holder waits until tickets of its predecessor have expired. */
+  /** Whether a new holder waits until the tickets of its predecessor have expired. */
   readonly waitsOut: boolean;
 }
 
-/** Settings of the lease. */
+/** Options of the lease. */
 export interface LeaseOptions {
-  /** Longer than common pauses, so that planning does not wander; a takeover waits as long. */
+  /** Longer than common pauses, to avoid needless changes of holder; a takeover waits as long. */
   readonly ttlMs: number;
   readonly renewIntervalMs: number;
-  /** The holder stops this long before the lease can lapse: covers clocks that run differently. */
+  /**
+   * Margin by which the holder stops before the lease can expire; covers clock rate differences.
+   */
   readonly safetyMs: number;
-  /** Time between a takeover and the first order: a ticket's validity and the sending of its order. */
+  /** Delay of the first order after a takeover: lifetime of a ticket plus sending of its order. */
   readonly waitOutMs: number;
-  /** A candidate looks at the key this often. */
+  /** Interval at which a candidate reads the key. */
   readonly retryMs: number;
   readonly guards: LeaseGuards;
 }
 
-/** The default settings; see docs/design/authority.md. */
+/** The default options; see docs/design/authority.md. */
 export const LEASE_OPTIONS: LeaseOptions = {
   ttlMs: 10_000,
   renewIntervalMs: 3_000,
@@ -73,15 +78,15 @@
   guards: { fencesItself: true, waitsOut: true },
 };
 
-/** What the lease machine needs at each step. */
+/** The inputs of each step of the lease state machine. */
 export interface LeaseContext {
   readonly nowMs: number;
   readonly random: Random;
-  /** Whether this member is to hold the lease if it is free: one member, by rendezvous. */
+  /** Whether this member may acquire a free lease: one member, chosen by rendezvous hashing. */
   readonly isCandidate: () => boolean;
 }
 
-/** The state of one service's lease in one process. */
+/** The state of the lease of one service in one process. */
 export interface LeaseState {
   readonly options: LeaseOptions;
   readonly selfId: string;
@@ -91,13 +96,13 @@
   sentAtMs: number;
   renewing: boolean;
   renewAtMs: number;
-  lookAtMs: number;
-  /** On the own clock; no later than the lapse of the lease less the safety. */
+  nextKeyReadAtMs: number;
+  /** On the local clock; at most the lease's expiry minus `safetyMs`. */
   validUntilMs: number;
   firstOrderAtMs: number;
 }
 
-/** A process that holds nothing. */
+/** Creates the state of a process that does not hold the lease. */
 export function createLease(selfId: string, options: LeaseOptions, nowMs: number): LeaseState {
   return {
     options,
@@ -108,18 +113,18 @@
     sentAtMs: nowMs,
     renewing: false,
     renewAtMs: nowMs,
-    lookAtMs: nowMs,
+    nextKeyReadAtMs: nowMs,
     validUntilMs: nowMs,
     firstOrderAtMs: nowMs,
   };
 }
 
-/** What the key holds, as JSON: the planner and the lease, by which it recognises its own write. */
+/** Returns the value of the key as JSON. The lease id lets a process recognize its own write. */
 function keyValue(selfId: string, leaseId: string): string {
   return JSON.stringify({ planner: selfId, leaseId });
 }
 
-/** Reads the lease key's value; null when it is not one. */
+/** Parses the value of the lease key; returns null if it is malformed. */
 export function parseLeaseKey(value: string): { planner: string; leaseId: string } | null {
   try {
     const parsed = JSON.parse(value) as Partial<Record<string, unknown>> | null;
@@ -133,46 +138,46 @@
 }
 
 /**
- * Whether the process holds the authority now. Failure guarded against: the holder was paused past
- * the lapse and gives an order as if nothing had happened. It shows on its own clock, because the
- * validity runs from before the last renewal was sent.
+ * Returns whether the process holds the lease now. Without this check, a holder that was paused
+ * until after the expiry would continue to issue orders. The local clock is enough to detect this,
+ * because the validity counts from before the last renewal was sent.
  */
 export function holdsAuthority(state: LeaseState, nowMs: number): boolean {
   if (state.phase !== LeasePhase.Held) return false;
   return !state.options.guards.fencesItself || nowMs < state.validUntilMs;
 }
 
-/** Whether an order may be given now: authority is held, and a predecessor's tickets are void. */
+/** Returns whether an order may be issued: the lease is held and earlier tickets have expired. */
 export function mayOrder(state: LeaseState, nowMs: number): boolean {
   const waited = !state.options.guards.waitsOut || nowMs >= state.firstOrderAtMs;
   return waited && holdsAuthority(state, nowMs);
 }
 
-function toIdle(state: LeaseState, context: LeaseContext): void {
+function resetToIdle(state: LeaseState, context: LeaseContext): void {
   state.phase = LeasePhase.Idle;
   state.leaseId = null;
   state.renewing = false;
-  state.lookAtMs = context.nowMs + state.options.retryMs * (0.5 + context.random());
+  state.nextKeyReadAtMs = context.nowMs + state.options.retryMs * (0.5 + context.random());
 }
 
-function lose(state: LeaseState, reason: string, context: LeaseContext): LeaseEffect[] {
+function loseLease(state: LeaseState, reason: string, context: LeaseContext): LeaseEffect[] {
   const { fence, leaseId } = state;
-  toIdle(state, context);
+  resetToIdle(state, context);
   const effects: LeaseEffect[] = [{ kind: LeaseEffectKind.Lost, fence, reason }];
   if (leaseId !== null) effects.push({ kind: LeaseEffectKind.Revoke, leaseId });
   return effects;
 }
 
-function abandon(state: LeaseState, context: LeaseContext): LeaseEffect[] {
+function abandonAttempt(state: LeaseState, context: LeaseContext): LeaseEffect[] {
   const { leaseId } = state;
-  toIdle(state, context);
+  resetToIdle(state, context);
   return leaseId === null ? [] : [{ kind: LeaseEffectKind.Revoke, leaseId }];
 }
 
-function gain(state: LeaseState, fence: number, context: LeaseContext): LeaseEffect[] {
-  // Taking the key took so long that its lease may have lapsed in between.
+function gainLease(state: LeaseState, fence: number, context: LeaseContext): LeaseEffect[] {
+  // Creating the key took so long that its lease may have expired in the meantime.
   if (context.nowMs >= state.validUntilMs && state.options.guards.fencesItself) {
-    return abandon(state, context);
+    return abandonAttempt(state, context);
   }
   state.phase = LeasePhase.Held;
   state.fence = fence;
@@ -181,20 +186,20 @@
   return [{ kind: LeaseEffectKind.Gained, fence }];
 }
 
-/** Does whatever is due; call it several times a second while the process stands for planning. */
+/** Runs the actions that are due. Call it several times a second while the process may plan. */
 export function tickLease(state: LeaseState, context: LeaseContext): LeaseEffect[] {
   const { nowMs } = context;
   if (state.phase === LeasePhase.Held) return tickHeld(state, context);
-  if (state.phase !== LeasePhase.Idle || nowMs < state.lookAtMs) return [];
-  state.lookAtMs = nowMs + state.options.retryMs;
+  if (state.phase !== LeasePhase.Idle || nowMs < state.nextKeyReadAtMs) return [];
+  state.nextKeyReadAtMs = nowMs + state.options.retryMs;
   if (!context.isCandidate()) return [];
-  state.phase = LeasePhase.Looking;
+  state.phase = LeasePhase.ReadingKey;
   return [{ kind: LeaseEffectKind.ReadKey }];
 }
 
 function tickHeld(state: LeaseState, context: LeaseContext): LeaseEffect[] {
   if (!holdsAuthority(state, context.nowMs)) {
-    return lose(state, 'the lease was not renewed in time on the own clock', context);
+    return loseLease(state, 'the lease was not renewed in time on the own clock', context);
   }
   if (state.renewing || context.nowMs < state.renewAtMs || state.leaseId === null) return [];
   state.renewing = true;
@@ -202,15 +207,15 @@
   return [{ kind: LeaseEffectKind.KeepAlive, leaseId: state.leaseId }];
 }
 
-/** The key as read, with its create revision; null when it is absent. */
+/** Handles the key as read, with its create revision; null if the key is absent. */
 export function leaseKeyRead(
   state: LeaseState,
   entry: { readonly value: string; readonly createRevision: number } | null,
   context: LeaseContext,
 ): LeaseEffect[] {
-  if (state.phase === LeasePhase.Looking) {
+  if (state.phase === LeasePhase.ReadingKey) {
     if (entry !== null) {
-      toIdle(state, context);
+      resetToIdle(state, context);
       return [];
     }
     state.phase = LeasePhase.Granting;
@@ -219,12 +224,12 @@
   }
   if (state.phase !== LeasePhase.ReadingBack || state.leaseId === null) return [];
   if (entry !== null && parseLeaseKey(entry.value)?.leaseId === state.leaseId) {
-    return gain(state, entry.createRevision, context);
+    return gainLease(state, entry.createRevision, context);
   }
-  return abandon(state, context);
+  return abandonAttempt(state, context);
 }
 
-/** The lease was granted; its time runs from before the request was sent. */
+/** Handles a granted lease, whose validity counts from before the request was sent. */
 export function leaseGranted(
   state: LeaseState,
   lease: { readonly leaseId: string; readonly ttlMs: number },
@@ -237,18 +242,18 @@
   return [{ kind: LeaseEffectKind.TakeKey, leaseId, value: keyValue(state.selfId, leaseId) }];
 }
 
-/** The key was taken at this create revision, or null when another process had it. */
+/** Handles the result of creating the key: its create revision, or null if it already existed. */
 export function leaseKeyTaken(
   state: LeaseState,
   createRevision: number | null,
   context: LeaseContext,
 ): LeaseEffect[] {
   if (state.phase !== LeasePhase.Taking) return [];
-  if (createRevision === null) return abandon(state, context);
-  return gain(state, createRevision, context);
+  if (createRevision === null) return abandonAttempt(state, context);
+  return gainLease(state, createRevision, context);
 }
 
-/** The lease lives on; null when the service no longer knows it. */
+/** Handles the answer to a renewal; null if the key-value service no longer knows the lease. */
 export function leaseKeptAlive(
   state: LeaseState,
   lease: { readonly ttlMs: number } | null,
@@ -257,13 +262,13 @@
   if (state.phase !== LeasePhase.Held) return [];
   state.renewing = false;
   if (lease === null)
-    return lose(state, 'the key-value service no longer knows the lease', context);
+    return loseLease(state, 'the key-value service no longer knows the lease', context);
   state.validUntilMs = state.sentAtMs + lease.ttlMs - state.options.safetyMs;
   state.renewAtMs = state.sentAtMs + state.options.renewIntervalMs;
   return [];
 }
 
-/** A call failed or its answer was lost; what it did is found out, never assumed. */
+/** Handles a failed call or a lost answer. Whether the call had an effect is not assumed. */
 export function leaseCallFailed(state: LeaseState, context: LeaseContext): LeaseEffect[] {
   switch (state.phase) {
     case LeasePhase.Held:
@@ -276,15 +281,15 @@
       return [{ kind: LeaseEffectKind.ReadKey }];
     case LeasePhase.Idle:
       return [];
-    case LeasePhase.Looking:
+    case LeasePhase.ReadingKey:
     case LeasePhase.Granting:
     case LeasePhase.ReadingBack:
-      return abandon(state, context);
+      return abandonAttempt(state, context);
   }
 }
 
-/** Gives the authority up, as on shutdown. */
+/** Gives up the lease, for example during a graceful shutdown. */
 export function giveUpLease(state: LeaseState, context: LeaseContext): LeaseEffect[] {
-  if (state.phase === LeasePhase.Held) return lose(state, 'given up', context);
-  return abandon(state, context);
+  if (state.phase === LeasePhase.Held) return loseLease(state, 'given up', context);
+  return abandonAttempt(state, context);
 }
--- a/packages/coordination/src/core/authority/order-gate.ts
+++ b/packages/coordination/src/core/authority/order-gate.ts
@@ -1,7 +1,8 @@
 /**
- * The one way to an engine: its sidecar's gate. An order passes on a fresh single-use ticket, after
- * the lease key was read back, one at a time. No two clocks are compared: the ticket's time runs on
- * the gate's own monotonic clock. An order whose answer was lost is read back, never sent again.
+ * State machine of the gate that a sidecar keeps in front of its engine. All orders pass through
+ * it, one at a time. Each needs a fresh single-use ticket, and the lease key is read before the
+ * order is sent. Tickets expire on the gate's own monotonic clock, so that no two clocks are
+ * compared. After a lost answer, the engine's state is read; the order is never sent again.
  */
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
@@ -38,50 +39,63 @@
   return { kind: GateEffectKind.ReadEngine, readId: state.lastReadId };
 }
 
-/** Does whatever is due; call it several times a second. */
+/** Runs the actions that are due. Call it several times a second. */
 export function tickGate(state: GateState, context: GateContext): GateEffect[] {
-  return [...learn(state, context), ...endWaiting(state, context), ...readBack(state, context)];
+  return [
+    ...learnAfterStart(state, context),
+    ...expireWaits(state, context),
+    ...pollEngine(state, context),
+  ];
 }
 
 /**
- * Ends waits whose answer never came. Failure guarded against: an order that waits for ever keeps
- * the engine from every later one. Before the sending nothing happened; after it the engine is read.
+ * Ends waits whose answer has not arrived in time. Without it, one unanswered order would block all
+ * later orders to the engine. An order that was not sent yet is rejected, because it had no effect;
+ * for a sent order, the engine's state is read.
  */
-function endWaiting(state: GateState, context: GateContext): GateEffect[] {
+function expireWaits(state: GateState, context: GateContext): GateEffect[] {
   const { running, options } = state;
   if (running === null) return [];
   if (running.phase === GatePhase.Verifying) {
     if (context.nowMs < running.expiresAtMs + options.checkToActMs) return [];
-    return refuse(state, running, authorityUnverifiable.of({ orderId: running.order.orderId }));
+    return rejectOrder(
+      state,
+      running,
+      authorityUnverifiable.of({ orderId: running.order.orderId }),
+    );
   }
   const waitedMs = context.nowMs - running.sentAtMs;
-  if (running.phase !== GatePhase.Sent || waitedMs < options.engineAnswerMs) return [];
+  if (running.phase !== GatePhase.Sent || waitedMs < options.engineAnswerTimeoutMs) return [];
   return engineAnswerLost(state, running.order.orderId, context);
 }
 
 /**
- * Learns whom to obey after a start. Failures guarded against: a fresh process obeys a planner that
- * was replaced, since it remembers no fencing number; and an order that its killed predecessor had
- * just written is taken up by the engine after the successor sent another one.
+ * Reads the lease and the engine's state after a start. Prevents two failures: a restarted sidecar
+ * has no fencing token in memory and would accept orders of a replaced planner, and the engine
+ * could start an order that the killed predecessor had just written after the successor sent
+ * another one.
  */
-function learn(state: GateState, context: GateContext): GateEffect[] {
-  if (state.learned || context.nowMs < state.learnAtMs) return [];
-  state.learnAtMs = context.nowMs + state.options.readBackIntervalMs;
+function learnAfterStart(state: GateState, context: GateContext): GateEffect[] {
+  if (state.learned || context.nowMs < state.nextLearnAtMs) return [];
+  state.nextLearnAtMs = context.nowMs + state.options.readBackIntervalMs;
   const effects: GateEffect[] = [];
-  if (!state.leaseLearned) effects.push(readLease(state));
-  const quiet = context.nowMs >= state.startedAtMs + state.options.quietAfterStartMs;
-  if (state.leaseLearned && quiet) effects.push(readEngine(state, context));
+  if (!state.leaseWasRead) effects.push(readLease(state));
+  const pickupTimePassed = context.nowMs >= state.startedAtMs + state.options.orderPickupMs;
+  if (state.leaseWasRead && pickupTimePassed) effects.push(readEngine(state, context));
   return effects;
 }
 
-function readBack(state: GateState, context: GateContext): GateEffect[] {
+function pollEngine(state: GateState, context: GateContext): GateEffect[] {
   const { running } = state;
   if (running?.phase !== GatePhase.ReadingBack || context.nowMs < running.readBackAtMs) return [];
   running.readBackAtMs = context.nowMs + state.options.readBackIntervalMs;
   return [readEngine(state, context)];
 }
 
-/** Makes a ticket; it replaces the one before. Errors: the catalogue beside this file. */
+/**
+ * Issues a ticket, which replaces the previous one. Errors: `authority-not-learned`,
+ * `fence-too-old`, `order-busy`.
+ */
 export function requestTicket(
   state: GateState,
   request: TicketRequest,
@@ -104,7 +118,7 @@
   return ok({ ticketId, fence, validMs: options.ticketValidMs });
 }
 
-function checkTicket(state: GateState, submission: OrderSubmission, nowMs: number): boolean {
+function isTicketValid(state: GateState, submission: OrderSubmission, nowMs: number): boolean {
   const { ticket } = state;
   if (ticket?.ticketId !== submission.ticketId) return false;
   if (ticket.planner !== submission.planner || ticket.fence !== submission.fence) return false;
@@ -112,8 +126,8 @@
 }
 
 /**
- * Takes an order and reads the lease back before anything else. Errors: `ticket-invalid`,
- * `order-busy`, `fence-too-old`; none of them leaves an effect.
+ * Accepts an order and requests a read of the lease before it is sent. Errors: `ticket-invalid`,
+ * `order-busy`, `fence-too-old`; a rejected order has had no effect.
  */
 export function submitOrder(
   state: GateState,
@@ -122,7 +136,7 @@
 ): Result<GateEffect[], Failure> {
   const { guards, checkToActMs } = state.options;
   const { ticketId, planner, order } = submission;
-  if (guards.ticketIsChecked && !checkTicket(state, submission, context.nowMs)) {
+  if (guards.ticketIsChecked && !isTicketValid(state, submission, context.nowMs)) {
     return err(ticketInvalid.of({ ticketId }));
   }
   if (state.running !== null && guards.oneAtATime) {
@@ -160,13 +174,13 @@
   return [{ kind: GateEffectKind.Finished, report }];
 }
 
-function refuse(state: GateState, running: RunningOrder, failure: Failure): GateEffect[] {
+function rejectOrder(state: GateState, running: RunningOrder, failure: Failure): GateEffect[] {
   return finish(state, running, OrderStatus.Refused, failure);
 }
 
 /**
- * The lease key as read; null when nobody holds it. Failure guarded against: the late answer to an
- * earlier read, from before a takeover, passes for the answer to the read made for this order.
+ * Handles the lease key as read; null if nobody holds it. Only the read that was requested for the
+ * running order verifies it: a late answer to an earlier read may predate a takeover.
  */
 export function gateLeaseRead(
   state: GateState,
@@ -174,23 +188,23 @@
   lease: LeaseView | null,
   context: GateContext,
 ): GateEffect[] {
-  if (!state.leaseLearned) {
-    state.leaseLearned = true;
-    state.learnAtMs = context.nowMs;
+  if (!state.leaseWasRead) {
+    state.leaseWasRead = true;
+    state.nextLearnAtMs = context.nowMs;
   }
   if (lease !== null) state.highestFence = Math.max(state.highestFence, lease.fence);
   const { running } = state;
   if (running?.phase !== GatePhase.Verifying || running.leaseReadId !== readId) return [];
-  return verify(state, running, lease, context);
+  return sendIfVerified(state, running, lease, context);
 }
 
 /**
- * Acts on an order, or refuses it. Failure guarded against: the process was paused between reading
- * the lease and acting, and the lease has passed on meanwhile. It shows on the own clock as a read
- * that is too old, which is then repeated; between this check and the sending no other event of the
- * process can come.
+ * Sends the running order to the engine or rejects it. If the process was paused after the read of
+ * the lease was requested, another planner may hold the lease by now. The local clock shows this as
+ * a read that is too old, and the read is repeated. The check and the send happen in the same step,
+ * so no other event of the process is handled in between.
  */
-function verify(
+function sendIfVerified(
   state: GateState,
   running: RunningOrder,
   lease: LeaseView | null,
@@ -200,10 +214,10 @@
   const { guards, checkToActMs } = state.options;
   const isHolder = lease?.planner === planner && lease.fence === order.fence;
   if (guards.leaseIsReadBack && !isHolder) {
-    return refuse(state, running, authorityLost.of({ planner, fence: order.fence }));
+    return rejectOrder(state, running, authorityLost.of({ planner, fence: order.fence }));
   }
   if (guards.ticketIsChecked && context.nowMs >= running.expiresAtMs) {
-    return refuse(state, running, ticketInvalid.of({ ticketId: order.orderId }));
+    return rejectOrder(state, running, ticketInvalid.of({ ticketId: order.orderId }));
   }
   const readAgeMs = context.nowMs - running.leaseReadSentAtMs;
   if (guards.rereadsAfterPause && readAgeMs > checkToActMs) {
@@ -217,14 +231,14 @@
   return [{ kind: GateEffectKind.SendOrder, order }];
 }
 
-/** The lease key could not be read: without proof of authority nothing is done. */
+/** Handles a failed read of the lease key: the order is rejected, because it cannot be verified. */
 export function gateLeaseReadFailed(state: GateState, readId: number): GateEffect[] {
   const { running } = state;
   if (running?.phase !== GatePhase.Verifying || running.leaseReadId !== readId) return [];
-  return refuse(state, running, authorityUnverifiable.of({ orderId: running.order.orderId }));
+  return rejectOrder(state, running, authorityUnverifiable.of({ orderId: running.order.orderId }));
 }
 
-/** The engine answered the order: done, or refused with a reason. */
+/** Handles the answer of the engine: null if the order is done, otherwise why it was rejected. */
 export function engineAnswered(
   state: GateState,
   orderId: string,
@@ -233,10 +247,10 @@
   const { running } = state;
   if (running?.order.orderId !== orderId || running.phase === GatePhase.Verifying) return [];
   if (refusal === null) return finish(state, running, OrderStatus.Done, null);
-  return refuse(state, running, orderNotDone.of({ orderId, reason: refusal }));
+  return rejectOrder(state, running, orderNotDone.of({ orderId, reason: refusal }));
 }
 
-/** The engine's answer was lost: its state tells what became of the order. */
+/** Handles a lost answer of the engine: its state is read to find out the result of the order. */
 export function engineAnswerLost(
   state: GateState,
   orderId: string,
@@ -252,26 +266,29 @@
   return tickGate(state, context);
 }
 
-/** The engine's state as read; what it lacks counts as of the moment the read was sent. */
+/**
+ * Handles the engine's state as read. If the order is missing from it, the order was not started by
+ * the time the read was sent.
+ */
 export function engineRead(state: GateState, readId: number, view: EngineView): GateEffect[] {
   const { engineReadSent } = state;
   if (engineReadSent.readId !== readId) return [];
   state.highestFence = Math.max(state.highestFence, view.highestFence);
   state.engineEpoch = view.epoch;
-  if (!state.learned && state.leaseLearned && view.orderInProgress === null) state.learned = true;
+  if (!state.learned && state.leaseWasRead && view.orderInProgress === null) state.learned = true;
   const { running } = state;
   if (running?.phase !== GatePhase.ReadingBack) return [];
   const { orderId } = running.order;
   if (view.lastOrderDone === orderId) return finish(state, running, OrderStatus.Done, null);
   if (view.orderInProgress === orderId) return [];
-  const readAfterMs = engineReadSent.sentAtMs - running.sentAtMs;
-  if (readAfterMs < state.options.quietAfterStartMs) return [];
+  const readDelayMs = engineReadSent.sentAtMs - running.sentAtMs;
+  if (readDelayMs < state.options.orderPickupMs) return [];
   const restarted = running.epoch !== null && running.epoch !== view.epoch;
   const reason = restarted ? 'the engine restarted' : 'the engine never took it up';
-  return refuse(state, running, orderNotDone.of({ orderId, reason }));
+  return rejectOrder(state, running, orderNotDone.of({ orderId, reason }));
 }
 
-/** Where an order stands: answer to `order.read`. */
+/** Returns the status of an order, as the answer to `order.read`. */
 export function readOrder(state: GateState, orderId: string): OrderReport {
   const { running } = state;
   if (running?.order.orderId === orderId) {
--- a/packages/coordination/src/core/authority/order-giver.ts
+++ b/packages/coordination/src/core/authority/order-giver.ts
@@ -1,44 +1,47 @@
 /**
- * The planner's side of one order to one target: ticket, submission, and reading back until its end
- * is known. An order is never sent twice: when its answer is lost, the sidecar is asked about it, and
- * when the sidecar does not know it after the ticket has expired, it cannot take effect any more.
+ * State machine of the planner's side of one order to one target: requests a ticket, submits the
+ * order and polls the sidecar until the result is known. An order is never submitted twice. If the
+ * sidecar does not know an order after its ticket has expired, the order can no longer have an
+ * effect.
  */
 import type { Failure } from '../failures/failure.js';
 import { orderNotDone, ticketInvalid } from './failures.js';
 import type { Order, OrderBody, OrderReport, Ticket } from './orders.js';
 import { OrderStatus } from './orders.js';
 
-/** Kinds of effects of giving an order. */
+/** The kinds of {@link OrderEffect}. */
 export enum OrderEffectKind {
-  /** Call `order.ticket` of the target's sidecar; feed `ticketReceived` or `ticketRefused`. */
+  /** Call `order.ticket` of the target's sidecar, then `ticketReceived` or `ticketRefused`. */
   RequestTicket = 'request-ticket',
-  /** Call `order.submit`; feed `submissionAnswered` or `submissionLost`. */
+  /** Call `order.submit`, then `submissionAnswered` or `submissionLost`. */
   Submit = 'submit',
-  /** Call `order.read`; feed `orderReported`. A failure needs no answer: it is read again. */
+  /**
+   * Call `order.read`, then `orderReported`. A failed call need not be reported; it is repeated.
+   */
   ReadOrder = 'read-order',
-  /** The order ended; `failure` is null when it is done. */
+  /** The order ended; `failure` is null if it is done. */
   Ended = 'ended',
 }
 
-/** An effect of giving an order. */
+/** An action that the order state machine requests from its process. */
 export type OrderEffect =
   | { readonly kind: OrderEffectKind.RequestTicket; readonly fence: number }
   | { readonly kind: OrderEffectKind.Submit; readonly ticketId: string; readonly order: Order }
   | { readonly kind: OrderEffectKind.ReadOrder; readonly orderId: string }
   | { readonly kind: OrderEffectKind.Ended; readonly failure: Failure | null };
 
-/** Where the order stands for its planner. */
+/** The phases of an order at its planner. */
 export enum OrderPhase {
-  Ticketing = 'ticketing',
+  RequestingTicket = 'ticketing',
   Submitted = 'submitted',
   ReadingBack = 'reading-back',
   Ended = 'ended',
 }
 
-/** What giving an order needs at each step. */
+/** The inputs of each step of an order. */
 export interface OrderContext {
   readonly nowMs: number;
-  /** Whether this process may give orders now; asked right before each submission. */
+  /** Whether this process may issue orders now; evaluated right before each submission. */
   readonly mayOrder: () => boolean;
 }
 
@@ -47,18 +50,18 @@
   readonly order: Order;
   phase: OrderPhase;
   startedAtMs: number;
-  /** After this the sidecar refuses the ticket, seen from a clock that started no earlier. */
-  ticketOverAtMs: number;
+  /** Local time after which the ticket has certainly expired: counted from when it arrived. */
+  ticketExpiresAtMs: number;
   readAtMs: number;
 }
 
-/** Time between two questions about an order whose end is not known. */
+/** Interval between two reads of an order whose result is not known. */
 const READ_INTERVAL_MS = 500;
 
-/** A ticket that did not come within this is not waited for. */
+/** Time after which an order ends without a ticket. */
 const TICKET_TIMEOUT_MS = 3_000;
 
-/** Begins an order under the fencing number held now. */
+/** Starts an order with the current fencing token of the planner. */
 export function giveOrder(
   orderId: string,
   fence: number,
@@ -67,12 +70,12 @@
 ): { readonly state: OrderState; readonly effects: readonly OrderEffect[] } {
   const state: OrderState = {
     order: { orderId, fence, body },
-    phase: OrderPhase.Ticketing,
+    phase: OrderPhase.RequestingTicket,
     startedAtMs: context.nowMs,
-    ticketOverAtMs: 0,
+    ticketExpiresAtMs: 0,
     readAtMs: 0,
   };
-  if (!context.mayOrder()) return { state, effects: endWith(state, 'no authority') };
+  if (!context.mayOrder()) return { state, effects: endWithReason(state, 'no authority') };
   return { state, effects: [{ kind: OrderEffectKind.RequestTicket, fence }] };
 }
 
@@ -81,29 +84,29 @@
   return [{ kind: OrderEffectKind.Ended, failure }];
 }
 
-function endWith(state: OrderState, reason: string): OrderEffect[] {
+function endWithReason(state: OrderState, reason: string): OrderEffect[] {
   return end(state, orderNotDone.of({ orderId: state.order.orderId, reason }));
 }
 
-/** The sidecar made a ticket. Authority is looked at again: the answer may have come late. */
+/** Handles a ticket. Checks authority again, because the answer may have arrived late. */
 export function ticketReceived(
   state: OrderState,
   ticket: Ticket,
   context: OrderContext,
 ): OrderEffect[] {
-  if (state.phase !== OrderPhase.Ticketing) return [];
-  if (!context.mayOrder()) return endWith(state, 'authority was lost before it was sent');
+  if (state.phase !== OrderPhase.RequestingTicket) return [];
+  if (!context.mayOrder()) return endWithReason(state, 'authority was lost before it was sent');
   state.phase = OrderPhase.Submitted;
-  state.ticketOverAtMs = context.nowMs + ticket.validMs;
+  state.ticketExpiresAtMs = context.nowMs + ticket.validMs;
   return [{ kind: OrderEffectKind.Submit, ticketId: ticket.ticketId, order: state.order }];
 }
 
-/** The sidecar refused a ticket, or did not answer: nothing was ordered. */
+/** Handles a rejected or unanswered request for a ticket: nothing was submitted. */
 export function ticketRefused(state: OrderState, failure: Failure): OrderEffect[] {
-  return state.phase === OrderPhase.Ticketing ? end(state, failure) : [];
+  return state.phase === OrderPhase.RequestingTicket ? end(state, failure) : [];
 }
 
-/** The submission was answered: taken (null), or refused without effect. */
+/** Handles the answer to the submission: null if accepted, otherwise a rejection without effect. */
 export function submissionAnswered(
   state: OrderState,
   refusal: Failure | null,
@@ -116,23 +119,23 @@
   return [];
 }
 
-/** The submission's answer was lost. */
+/** Handles a lost answer to the submission: the order may have been accepted, so it is polled. */
 export function submissionLost(state: OrderState, context: OrderContext): OrderEffect[] {
   return submissionAnswered(state, null, context);
 }
 
-/** Does whatever is due. */
+/** Runs the actions that are due. */
 export function tickOrder(state: OrderState, context: OrderContext): OrderEffect[] {
-  if (state.phase === OrderPhase.Ticketing) {
+  if (state.phase === OrderPhase.RequestingTicket) {
     const waitedMs = context.nowMs - state.startedAtMs;
-    return waitedMs >= TICKET_TIMEOUT_MS ? endWith(state, 'no ticket in time') : [];
+    return waitedMs >= TICKET_TIMEOUT_MS ? endWithReason(state, 'no ticket in time') : [];
   }
   if (state.phase !== OrderPhase.ReadingBack || context.nowMs < state.readAtMs) return [];
   state.readAtMs = context.nowMs + READ_INTERVAL_MS;
   return [{ kind: OrderEffectKind.ReadOrder, orderId: state.order.orderId }];
 }
 
-/** What the sidecar says of the order. */
+/** Handles the sidecar's report on the order. */
 export function orderReported(
   state: OrderState,
   report: OrderReport,
@@ -148,7 +151,7 @@
     case OrderStatus.Running:
       return [];
     case OrderStatus.Unknown:
-      if (context.nowMs < state.ticketOverAtMs) return [];
-      return endWith(state, 'the sidecar does not know it and its ticket has expired');
+      if (context.nowMs < state.ticketExpiresAtMs) return [];
+      return endWithReason(state, 'the sidecar does not know it and its ticket has expired');
   }
 }
--- a/packages/coordination/src/core/authority/orders.ts
+++ b/packages/coordination/src/core/authority/orders.ts
@@ -1,24 +1,25 @@
 /**
- * Orders, tickets and their outcomes as planner, sidecar and engine exchange them. Plain JSON.
+ * The messages that planner, sidecar and engine exchange about orders: commands that change the
+ * state of an engine, such as its role. All are plain JSON.
  */
 import type { Failure } from '../failures/failure.js';
 
-/** What an order asks for: the fields of the engine's order beside its id and fencing number. */
+/** The fields of an engine's order other than its id and fencing token. */
 export type OrderBody = Readonly<Record<string, unknown>>;
 
-/** An order as the sidecar hands it to its engine. */
+/** An order as the sidecar sends it to its engine. */
 export interface Order {
   readonly orderId: string;
-  /** Create revision of the lease key under which it was given. */
+  /** Fencing token: create revision of the lease key under which the order was issued. */
   readonly fence: number;
   readonly body: OrderBody;
 }
 
-/** Permission for one order, made by the sidecar that will act on it. */
+/** Single-use permission for one order, issued by the sidecar of the engine. */
 export interface Ticket {
   readonly ticketId: string;
   readonly fence: number;
-  /** How long it is valid, on the sidecar's clock, from the moment it was made. */
+  /** Lifetime from the time of issue, on the sidecar's clock. */
   readonly validMs: number;
 }
 
@@ -28,20 +29,20 @@
   readonly fence: number;
 }
 
-/** A planner's order: RPC `order.submit`. */
+/** A planner's submission of an order: RPC `order.submit`. */
 export interface OrderSubmission extends TicketRequest {
   readonly ticketId: string;
   readonly order: Order;
 }
 
-/** Who holds the lease according to the key-value service. */
+/** The holder of the lease according to the key-value service. */
 export interface LeaseView {
   readonly planner: string;
-  /** Create revision of the key. */
+  /** Fencing token: create revision of the key. */
   readonly fence: number;
 }
 
-/** What a sidecar reads of its engine; a subset of the engine's state. */
+/** The part of an engine's state that its sidecar reads. */
 export interface EngineView {
   readonly epoch: string;
   readonly orderInProgress: string | null;
@@ -49,13 +50,13 @@
   readonly highestFence: number;
 }
 
-/** Where an order stands, as its sidecar knows it. */
+/** The status of an order at its sidecar. */
 export enum OrderStatus {
-  /** Never taken here, or so long ago that it is forgotten. */
+  /** Never accepted here, or so long ago that its result was removed. */
   Unknown = 'unknown',
-  /** The lease is being read back; nothing was sent to the engine yet. */
+  /** The lease is being read; nothing was sent to the engine yet. */
   Verifying = 'verifying',
-  /** Handed to the engine. */
+  /** Sent to the engine. */
   Running = 'running',
   Done = 'done',
   /** Ended without effect. */
@@ -66,6 +67,6 @@
 export interface OrderReport {
   readonly orderId: string;
   readonly status: OrderStatus;
-  /** Why it was refused. */
+  /** Why the order was refused; null for any other status. */
   readonly failure: Failure | null;
 }
