--- a/packages/coordination/src/core/roles/capacity.ts
+++ b/packages/coordination/src/core/roles/capacity.ts
@@ -1,70 +1,83 @@
 /**
- * What a split of roles can serve: a forecast of the share of requests that is answered within the
- * goals, for a demand given in engines. Soft means come first in it: what the readers cannot read is
- * lent to the writers at a higher price, where they have room. The figures are fitted to the fake
- * engine of the benchmark; docs/design/roles.md shows the fit.
+ * Forecasts which share of requests a split of prefill and decode targets answers within the
+ * latency goals, for a demand given in engines. Prompts that exceed the capacity of the prefill
+ * targets run on decode targets with spare capacity, at a higher cost. The constants are fitted to
+ * the fake engine of the benchmark; docs/design/roles.md shows the fit.
  */
 import { EngineRole } from '../model/configuration.js';
 import type { EngineProfile } from '../routing/engine-profile.js';
 import type { DemandSample } from './demand.js';
 
-/** A split of the serving engines. */
+/** The number of serving targets per role. */
 export interface RoleSplit {
-  readonly readers: number;
-  readonly writers: number;
+  readonly prefillTargets: number;
+  readonly decodeTargets: number;
 }
 
-/** Part of a reader's time that prompts fill while they still meet the goal. */
-const READER_CAPACITY = 0.87;
+/** Utilization up to which a prefill target meets the latency goal. */
+const PREFILL_CAPACITY = 0.87;
 
-/** Prompts that a writer with room reads within the goal, as part of what a reader reads. */
-const LENT_PER_WRITER = 0.1;
+/** Prefill work that a decode target can do within the goal, as a ratio of a prefill target's. */
+const PREFILL_PER_DECODE_TARGET = 0.1;
 
-/** Time of a writer's step that is not its fixed time, when steps are at the goal. */
-const WRITER_EFFICIENCY = 0.8;
+/** Share of a decode step that is not its fixed time, when steps are as long as the goal allows. */
+const DECODE_EFFICIENCY = 0.8;
 
-/** How sharply readers bend at their capacity: queues are felt from four fifths on. */
-const READER_SHARPNESS = 8;
+/**
+ * Sharpness of the saturation of prefill targets: queues matter from four fifths of capacity on.
+ */
+const PREFILL_SHARPNESS = 8;
 
-/** How sharply writers bend: steps only become longer until they are at the goal. */
-const WRITER_SHARPNESS = 32;
+/** Sharpness of the saturation of decode targets: steps only become longer up to the goal. */
+const DECODE_SHARPNESS = 32;
 
-/** Price of a use without slack: breaks ties towards the split that is ready for more. */
-const SLACK_PRICE = 0.004;
+/** Penalty per unit of utilization: breaks ties in favor of the split with more spare capacity. */
+const UTILIZATION_PENALTY = 0.004;
 
-/** Share of requests served within the goals, 0 to 1, less a small price for lack of slack. */
+/**
+ * Returns the share of requests served within the goals, from 0 to 1, minus a small penalty for
+ * high utilization.
+ */
 export function servedShare(
   profile: EngineProfile,
   split: RoleSplit,
   demand: Pick<DemandSample, 'prefillEngines' | 'decodeEngines'>,
 ): number {
-  if (split.writers <= 0) return 0;
-  const price = lendPrice(profile);
-  const room = Math.max(0, 1 - demand.decodeEngines / split.writers) / price;
-  const mayLend = split.writers * Math.min(LENT_PER_WRITER, room);
-  const readerCapacity = split.readers * READER_CAPACITY;
-  const lent = Math.min(mayLend, Math.max(0, demand.prefillEngines - readerCapacity));
-  const readerUse = useOf(demand.prefillEngines, readerCapacity + mayLend);
-  const writerUse = (demand.decodeEngines + lent * price) / split.writers;
-  const served = Math.min(bend(readerUse, READER_SHARPNESS), bend(writerUse, WRITER_SHARPNESS));
-  return served - SLACK_PRICE * (Math.min(2, readerUse) + Math.min(2, writerUse));
+  if (split.decodeTargets <= 0) return 0;
+  const costPerPrefillEngine = offloadCost(profile);
+  const spareRatio =
+    Math.max(0, 1 - demand.decodeEngines / split.decodeTargets) / costPerPrefillEngine;
+  const maxOffloaded = split.decodeTargets * Math.min(PREFILL_PER_DECODE_TARGET, spareRatio);
+  const prefillCapacity = split.prefillTargets * PREFILL_CAPACITY;
+  const offloaded = Math.min(maxOffloaded, Math.max(0, demand.prefillEngines - prefillCapacity));
+  const prefillUse = utilizationOf(demand.prefillEngines, prefillCapacity + maxOffloaded);
+  const decodeUse = (demand.decodeEngines + offloaded * costPerPrefillEngine) / split.decodeTargets;
+  const served = Math.min(
+    saturate(prefillUse, PREFILL_SHARPNESS),
+    saturate(decodeUse, DECODE_SHARPNESS),
+  );
+  return served - UTILIZATION_PENALTY * (Math.min(2, prefillUse) + Math.min(2, decodeUse));
 }
 
-/** Writer time that a lent prompt takes, over the reader time that it saves. */
-function lendPrice(profile: EngineProfile): number {
+/**
+ * Returns the decode time that a prompt takes on a decode target, per unit of prefill time saved.
+ */
+function offloadCost(profile: EngineProfile): number {
   const { roles } = profile;
-  const perToken =
+  const msPerTokenRatio =
     roles[EngineRole.Decode].prefillMsPerToken / roles[EngineRole.Prefill].prefillMsPerToken;
-  return perToken / WRITER_EFFICIENCY;
+  return msPerTokenRatio / DECODE_EFFICIENCY;
 }
 
-function useOf(demand: number, capacity: number): number {
+function utilizationOf(demand: number, capacity: number): number {
   if (demand <= 0) return 0;
   return capacity <= 0 ? Number.POSITIVE_INFINITY : demand / capacity;
 }
 
-/** Near 1 below capacity, near capacity over demand above, smooth between. */
-function bend(use: number, sharpness: number): number {
-  if (!Number.isFinite(use)) return 0;
-  return (1 + use ** sharpness) ** (-1 / sharpness);
+/**
+ * Returns the served share: near 1 below capacity, near capacity / demand above, smooth between.
+ */
+function saturate(utilization: number, sharpness: number): number {
+  if (!Number.isFinite(utilization)) return 0;
+  return (1 + utilization ** sharpness) ** (-1 / sharpness);
 }
--- a/packages/coordination/src/core/roles/choose-target.ts
+++ b/packages/coordination/src/core/roles/choose-target.ts
@@ -1,6 +1,7 @@
 /**
- * Which engine changes its role: one that has least to drain, from a failure domain that has the
- * wanted role least, so that the loss of a domain never takes all readers or all writers.
+ * Chooses the target whose role is changed. Prefers the failure domain with the fewest targets of
+ * the wanted role, to avoid losing all targets of one role with a single domain, and then the
+ * target with the least work to drain.
  */
 import { EngineRole } from '../model/configuration.js';
 import type { LoadReport } from '../routing/load-report.js';
@@ -10,35 +11,38 @@
   readonly name: string;
   readonly failureDomain: string;
   readonly role: EngineRole;
-  /** Takes new work. */
+  /** Whether the target accepts new work. */
   readonly accepting: boolean;
-  /** Role that it is being changed to, or null. */
+  /** The role that the target is changing to; null if no change is in progress. */
   readonly changingTo: EngineRole | null;
   readonly report: LoadReport | null;
 }
 
-/** Name of the target to change to `role`, or null where the floor or the roles allow none. */
+/**
+ * Returns the name of the target to change to `role`. Returns null if no target has another role or
+ * if the change would leave fewer than `floorTargets` serving.
+ */
 export function chooseTarget(
   targets: readonly PlannerTarget[],
   role: EngineRole,
-  taken: ReadonlySet<string>,
+  chosenNames: ReadonlySet<string>,
   floorTargets: number,
 ): string | null {
-  const serving = targets.filter((target) => target.accepting && !taken.has(target.name));
-  // The change takes the engine away; the service must keep its floor without it.
+  const serving = targets.filter((target) => target.accepting && !chosenNames.has(target.name));
+  // The target is unavailable during the change; the service needs `floorTargets` without it.
   if (serving.length - 1 < floorTargets) return null;
   const candidates = serving.filter(
-    (target) => target.changingTo === null && isReader(target.role) !== isReader(role),
+    (target) => target.changingTo === null && isPrefill(target.role) !== isPrefill(role),
   );
-  const inDomain = countByDomain(targets, role);
+  const domainCounts = countByDomain(targets, role);
   const best = candidates.reduce<PlannerTarget | undefined>(
-    (known, next) => (known === undefined || isBetter(next, known, inDomain) ? next : known),
+    (known, next) => (known === undefined || isBetter(next, known, domainCounts) ? next : known),
     undefined,
   );
   return best?.name ?? null;
 }
 
-function isReader(role: EngineRole): boolean {
+function isPrefill(role: EngineRole): boolean {
   return role === EngineRole.Prefill;
 }
 
@@ -48,7 +52,7 @@
 ): ReadonlyMap<string, number> {
   const counts = new Map<string, number>();
   for (const target of targets) {
-    if (isReader(target.changingTo ?? target.role) !== isReader(role)) continue;
+    if (isPrefill(target.changingTo ?? target.role) !== isPrefill(role)) continue;
     counts.set(target.failureDomain, (counts.get(target.failureDomain) ?? 0) + 1);
   }
   return counts;
@@ -57,10 +61,10 @@
 function isBetter(
   a: PlannerTarget,
   b: PlannerTarget,
-  inDomain: ReadonlyMap<string, number>,
+  domainCounts: ReadonlyMap<string, number>,
 ): boolean {
-  const domainA = inDomain.get(a.failureDomain) ?? 0;
-  const domainB = inDomain.get(b.failureDomain) ?? 0;
+  const domainA = domainCounts.get(a.failureDomain) ?? 0;
+  const domainB = domainCounts.get(b.failureDomain) ?? 0;
   if (domainA !== domainB) return domainA < domainB;
   return (a.report?.runningContextTokens ?? 0) < (b.report?.runningContextTokens ?? 0);
 }
--- a/packages/coordination/src/core/roles/demand.ts
+++ b/packages/coordination/src/core/roles/demand.ts
@@ -1,26 +1,29 @@
 /**
- * Demand for the two phases, as an entry meters it at arrival and as the planner adds it up. Work
- * is counted in engine time: how long one engine of the fitting role would be busy with it.
+ * Measures the demand for prefill and decode: each entry counts it on arrival of a request, and the
+ * planner sums it up. The unit is engine time: how long one engine of the matching role would be
+ * busy with the work.
  */
 import { EngineRole } from '../model/configuration.js';
 import type { EngineProfile } from '../routing/engine-profile.js';
 
-/** Demand that one entry saw over a span. */
+/** The demand that arrived at one entry during a time span. */
 export interface DemandReport {
   readonly entry: string;
-  /** End of the span on the receiver's monotonic clock: time of arrival less stated age. */
+  /**
+   * End of the span on the receiver's monotonic clock: arrival time of the report minus its age.
+   */
   readonly atMs: number;
-  /** Rises with each report. */
+  /** Increases with each report. */
   readonly sequence: number;
   readonly spanMs: number;
   readonly requests: number;
   readonly prefillMs: number;
-  /** What the prefix caches saved of it. */
+  /** Prefill time that prefix caches saved; not included in `prefillMs`. */
   readonly savedMs: number;
   readonly decodeMs: number;
 }
 
-/** Counters of one entry. */
+/** The demand counters of one entry. */
 export interface DemandMeter {
   readonly entry: string;
   readonly profile: EngineProfile;
@@ -33,7 +36,7 @@
   decodeMs: number;
 }
 
-/** Makes a meter that starts counting now. */
+/** Creates a meter that starts counting now. */
 export function createDemandMeter(
   entry: string,
   profile: EngineProfile,
@@ -54,8 +57,9 @@
 }
 
 /**
- * Engine time that writing an answer takes where steps are as long as the goal allows: the fixed
- * time of a step is then shared most widely. Shorter steps share it less and take more time.
+ * Returns the engine time that decoding an answer takes when steps are as long as the goal allows.
+ * The fixed time of a step is then shared by the most sequences; shorter steps take more time per
+ * token.
  */
 export function decodeWorkMs(
   profile: EngineProfile,
@@ -65,15 +69,17 @@
 ): number {
   const contextTokens = promptTokens + outputTokens / 2;
   const perTokenMs = profile.perSequenceMs + contextTokens * profile.perContextTokenMs;
-  return (outputTokens * perTokenMs) / writerEfficiency(profile, interTokenGoalMs);
+  return (outputTokens * perTokenMs) / decodeEfficiency(profile, interTokenGoalMs);
 }
 
-/** Part of a writer's time that is not the fixed time of its steps, when they are at the goal. */
-export function writerEfficiency(profile: EngineProfile, interTokenGoalMs: number): number {
+/** Returns the share of a decode step that is not its fixed time, for steps as long as the goal. */
+export function decodeEfficiency(profile: EngineProfile, interTokenGoalMs: number): number {
   return 1 - profile.roles[EngineRole.Decode].stepBaseMs / interTokenGoalMs;
 }
 
-/** Counts an arrival, also one that is refused: demand is what was wanted. */
+/**
+ * Counts a request on arrival. Rejected requests count too, because they are part of the demand.
+ */
 export function noteArrival(
   meter: DemandMeter,
   arrival: {
@@ -94,7 +100,7 @@
   );
 }
 
-/** Reads the counters off and starts anew. */
+/** Returns a report of the counters and resets them. */
 export function takeDemandReport(meter: DemandMeter, nowMs: number): DemandReport {
   meter.sequence += 1;
   const report: DemandReport = {
@@ -115,12 +121,12 @@
   return report;
 }
 
-/** Demand on a service over some seconds, in engines: milliseconds of work per millisecond. */
+/** The demand on a service over a few seconds, in engines: milliseconds of work per millisecond. */
 export interface DemandSample {
   readonly atMs: number;
   readonly requestsPerS: number;
   readonly prefillEngines: number;
-  /** Readers that the prefix caches save. */
-  readonly savedEngines: number;
+  /** Prefill engines that are not needed because of the prefix caches. */
+  readonly cachedPrefillEngines: number;
   readonly decodeEngines: number;
 }
--- a/packages/coordination/src/core/roles/planner.ts
+++ b/packages/coordination/src/core/roles/planner.ts
@@ -1,9 +1,9 @@
 /**
- * The role planner of one service. It weighs each split of roles near the present one over the
- * demand of the recent past, in which a short swing averages out, and orders a change only where
- * the forecast gain over the horizon beats the stall, the drain and the lost cache by a margin. It
- * does nothing from reports that it cannot trust. Whether an order may be given at all is decided
- * elsewhere, by who holds the authority.
+ * The role planner of one service. Compares the current split of roles with similar ones over the
+ * recent demand, which averages out short swings. Orders a change only if the forecast gain over
+ * the horizon exceeds the cost of the change (role change, drain and lost cache) by a margin, and
+ * never on the basis of outdated reports. The lease decides elsewhere whether orders may be issued
+ * at all.
  */
 import { EventKind } from '../events/event.js';
 import type { UnstampedEvent } from '../events/event.js';
@@ -15,27 +15,27 @@
 import { type PlannerTarget, chooseTarget } from './choose-target.js';
 import { changeCostRequests } from './change-cost.js';
 
-/** What a planner is made with. */
+/** Options of a role planner. */
 export interface PlannerOptions {
   readonly service: string;
   readonly profile: EngineProfile;
-  /** The least number of targets that stay serving through a change. */
+  /** The minimum number of targets that keep serving during a change. */
   readonly floorTargets: number;
-  /** Gains are counted over this time, in milliseconds. */
+  /** Time over which gains are counted. */
   readonly horizonMs: number;
-  /** Age at which a demand sample counts half, in milliseconds. */
+  /** Age at which a demand sample has half its weight. */
   readonly halfLifeMs: number;
-  /** A gain must be this many times the cost. */
+  /** Minimum ratio of gain to cost. */
   readonly margin: number;
-  /** And at least this part of the requests of the horizon. */
+  /** Minimum gain beyond that, as a share of the requests in the horizon. */
   readonly minGainShare: number;
-  /** Reports older than this are not trusted, in milliseconds. */
+  /** Maximum age of a report on which decisions are based. */
   readonly maxReportAgeMs: number;
-  /** Part of the engines that may be changing at once, at least one. */
+  /** Maximum share of the engines that may be changing at once; one engine always may. */
   readonly maxChangingShare: number;
 }
 
-/** Defaults; reasons and sensitivity in docs/design/policy.md. */
+/** The default options; docs/design/policy.md gives the reasons and their sensitivity. */
 export const DEFAULT_PLANNER_OPTIONS = {
   horizonMs: 60_000,
   halfLifeMs: 12_000,
@@ -45,22 +45,22 @@
   maxChangingShare: 0.26,
 } as const;
 
-/** What a decision looks at. */
+/** The inputs of a decision. */
 export interface PlannerView {
   readonly targets: readonly PlannerTarget[];
-  /** Latest report of each entry. */
+  /** The latest report of each entry. */
   readonly demand: readonly DemandReport[];
-  /** Entries that are alive; those without a fresh report are unknown demand. */
+  /** Number of live entries. The demand at those without a recent report is unknown. */
   readonly entriesAlive: number;
 }
 
-/** An order that the planner wants given. */
+/** A role change that the planner requests. */
 export interface WantedOrder {
   readonly target: string;
   readonly role: EngineRole;
 }
 
-/** The decision with its time line events, also of changes not made. */
+/** A decision with its time line events, which also explain why roles were kept. */
 export interface RolePlan {
   readonly orders: readonly WantedOrder[];
   readonly events: readonly UnstampedEvent[];
@@ -69,93 +69,102 @@
 /** The planner's state. */
 export interface RolePlanner {
   readonly options: PlannerOptions;
-  /** Demand of the last seconds, as reported. */
-  recent: DemandSample[];
-  /** Means over some seconds each, the newest last. */
+  /** Sums of the latest reports, before smoothing. */
+  recentSums: DemandSample[];
+  /** Means over a few seconds each, the newest last. */
   samples: DemandSample[];
-  /** Last sequence per entry, to tell a frozen report from a new one. */
+  /** The last sequence number per entry, to ignore reports that were already counted. */
   readonly sequences: Map<string, number>;
-  /** The last reason in the time line, so that only changes of it are shown. */
+  /** The last reason in the time line; a repeated reason is not reported again. */
   lastReason: string;
 }
 
-/** Makes a planner without history. */
+/** Creates a planner without demand samples. */
 export function createRolePlanner(options: PlannerOptions): RolePlanner {
-  return { options, recent: [], samples: [], sequences: new Map(), lastReason: '' };
+  return { options, recentSums: [], samples: [], sequences: new Map(), lastReason: '' };
 }
 
-/** Samples kept: at one a second some ten half-lives. */
+/** Maximum number of samples: at one a second, about ten half-lives. */
 const MAX_SAMPLES = 120;
 
-/** Reports that one sample is the mean of: the forecast is fitted to means over some seconds. */
+/** Number of sums averaged in a sample: the forecast is fitted to means over a few seconds. */
 const SMOOTHED_REPORTS = 4;
 
-/** Least part of the entries and of the targets whose reports must be fresh. */
+/** Minimum share of entries and of targets whose reports must be recent. */
 const MIN_TRUSTED_SHARE = 0.7;
 
-/** Samples before the first decision. */
+/** Number of samples needed for a decision. */
 const MIN_SAMPLES = 15;
 
-/** Weighs the roles. Call it about once a second. */
+/** Decides whether roles change, and which. Call it about once a second. */
 export function planRoles(planner: RolePlanner, view: PlannerView, nowMs: number): RolePlan {
-  const doubt = noteDemandReports(planner, view, nowMs) ?? doubtTargets(planner, view, nowMs);
-  if (doubt !== null) return hold(planner, doubt, {});
-  if (planner.samples.length < MIN_SAMPLES) return hold(planner, 'demand is not known yet', {});
+  const reportProblem =
+    recordDemandReports(planner, view, nowMs) ?? checkLoadReports(planner, view, nowMs);
+  if (reportProblem !== null) return keepRoles(planner, reportProblem, {});
+  if (planner.samples.length < MIN_SAMPLES)
+    return keepRoles(planner, 'demand is not known yet', {});
   return decide(planner, view, nowMs);
 }
 
-function noteDemandReports(planner: RolePlanner, view: PlannerView, nowMs: number): string | null {
+function recordDemandReports(
+  planner: RolePlanner,
+  view: PlannerView,
+  nowMs: number,
+): string | null {
   const { maxReportAgeMs } = planner.options;
   const fresh = view.demand.filter((report) => nowMs - report.atMs <= maxReportAgeMs);
   if (fresh.length < view.entriesAlive * MIN_TRUSTED_SHARE) return 'demand reports are too old';
-  const news = fresh.filter((report) => report.sequence !== planner.sequences.get(report.entry));
-  if (news.length === 0) return null;
+  const newReports = fresh.filter(
+    (report) => report.sequence !== planner.sequences.get(report.entry),
+  );
+  if (newReports.length === 0) return null;
   planner.sequences.clear();
   for (const report of view.demand) planner.sequences.set(report.entry, report.sequence);
-  planner.recent.push(addUp(fresh, view.entriesAlive, nowMs));
-  if (planner.recent.length > SMOOTHED_REPORTS) planner.recent.shift();
-  planner.samples.push(meanOf(planner.recent, () => 1, nowMs));
+  planner.recentSums.push(sumReports(fresh, view.entriesAlive, nowMs));
+  if (planner.recentSums.length > SMOOTHED_REPORTS) planner.recentSums.shift();
+  planner.samples.push(meanOf(planner.recentSums, () => 1, nowMs));
   if (planner.samples.length > MAX_SAMPLES) planner.samples.shift();
   return null;
 }
 
-function addUp(
+function sumReports(
   reports: readonly DemandReport[],
   entriesAlive: number,
   nowMs: number,
 ): DemandSample {
-  const sum = { requestsPerS: 0, prefillEngines: 0, savedEngines: 0, decodeEngines: 0 };
+  const sum = { requestsPerS: 0, prefillEngines: 0, cachedPrefillEngines: 0, decodeEngines: 0 };
   for (const report of reports) {
     if (report.spanMs <= 0) continue;
     sum.requestsPerS += (report.requests * 1000) / report.spanMs;
     sum.prefillEngines += report.prefillMs / report.spanMs;
-    sum.savedEngines += report.savedMs / report.spanMs;
+    sum.cachedPrefillEngines += report.savedMs / report.spanMs;
     sum.decodeEngines += report.decodeMs / report.spanMs;
   }
-  // The balancer spreads callers evenly, so that a missing entry saw what the others did.
-  const missing = Math.max(1, entriesAlive / Math.max(1, reports.length));
+  // The load balancer spreads callers evenly, so a missing entry has the same demand as the others.
+  const missingEntriesFactor = Math.max(1, entriesAlive / Math.max(1, reports.length));
   return {
     atMs: nowMs,
-    requestsPerS: sum.requestsPerS * missing,
-    prefillEngines: sum.prefillEngines * missing,
-    savedEngines: sum.savedEngines * missing,
-    decodeEngines: sum.decodeEngines * missing,
+    requestsPerS: sum.requestsPerS * missingEntriesFactor,
+    prefillEngines: sum.prefillEngines * missingEntriesFactor,
+    cachedPrefillEngines: sum.cachedPrefillEngines * missingEntriesFactor,
+    decodeEngines: sum.decodeEngines * missingEntriesFactor,
   };
 }
 
-function doubtTargets(planner: RolePlanner, view: PlannerView, nowMs: number): string | null {
+function checkLoadReports(planner: RolePlanner, view: PlannerView, nowMs: number): string | null {
   const accepting = view.targets.filter((target) => target.accepting);
   const fresh = accepting.filter(
     (target) =>
       target.report !== null && nowMs - target.report.atMs <= planner.options.maxReportAgeMs,
   );
-  // Old or missing reports show that we are cut off or they are; a change could empty a role.
+  // Old or missing reports indicate a partition, in which a change could leave a role without
+  // targets.
   return fresh.length < accepting.length * MIN_TRUSTED_SHARE ? 'load reports are too old' : null;
 }
 
-/** One split under consideration. */
-interface Option {
-  readonly readers: number;
+/** A split that is compared with the current one. */
+interface SplitOption {
+  readonly prefillTargets: number;
   readonly gainRequests: number;
   readonly costRequests: number;
 }
@@ -163,61 +172,76 @@
 function decide(planner: RolePlanner, view: PlannerView, nowMs: number): RolePlan {
   const { options } = planner;
   const split = plannedSplit(view);
-  const total = split.readers + split.writers;
+  const total = split.prefillTargets + split.decodeTargets;
   const changing = view.targets.filter((target) => target.changingTo !== null).length;
   const maxChanging = Math.max(1, Math.floor(total * options.maxChangingShare));
-  const step = Math.max(1, maxChanging - changing);
-  const weighed = [split.readers - step, split.readers - 1, split.readers + 1, split.readers + step]
-    .filter((readers) => readers >= 0 && readers < total)
-    .map((readers) => weigh(planner, split, readers, nowMs));
-  const best = weighed.reduce<Option | undefined>(
-    (known, next) => (known === undefined || net(next) > net(known) ? next : known),
+  const maxStep = Math.max(1, maxChanging - changing);
+  const splitOptions = [
+    split.prefillTargets - maxStep,
+    split.prefillTargets - 1,
+    split.prefillTargets + 1,
+    split.prefillTargets + maxStep,
+  ]
+    .filter((prefillTargets) => prefillTargets >= 0 && prefillTargets < total)
+    .map((prefillTargets) => evaluateSplit(planner, split, prefillTargets, nowMs));
+  const best = splitOptions.reduce<SplitOption | undefined>(
+    (known, next) => (known === undefined || netGain(next) > netGain(known) ? next : known),
     undefined,
   );
-  if (best === undefined) return hold(planner, 'there is nothing to change', {});
+  if (best === undefined) return keepRoles(planner, 'there is nothing to change', {});
   const figures = figuresOf(planner, split, best, nowMs);
   const needed = neededGain(planner, best, nowMs);
-  if (best.gainRequests < needed) return hold(planner, 'no change would pay back', figures);
-  if (changing >= maxChanging) return hold(planner, 'a change is under way', figures);
-  return change(planner, view, best.readers - split.readers, figures);
+  if (best.gainRequests < needed) return keepRoles(planner, 'no change would pay back', figures);
+  if (changing >= maxChanging) return keepRoles(planner, 'a change is under way', figures);
+  return changeRoles(planner, view, best.prefillTargets - split.prefillTargets, figures);
 }
 
-function net(option: Option): number {
+function netGain(option: SplitOption): number {
   return option.gainRequests - option.costRequests;
 }
 
-function neededGain(planner: RolePlanner, option: Option, nowMs: number): number {
+function neededGain(planner: RolePlanner, option: SplitOption, nowMs: number): number {
   const { margin, minGainShare, horizonMs } = planner.options;
   const requests = (meanDemand(planner, nowMs).requestsPerS * horizonMs) / 1000;
   return option.costRequests * margin + requests * minGainShare;
 }
 
-/** The split as it will be when changes under way are done. */
+/** Returns the split after the role changes in progress are done. */
 function plannedSplit(view: PlannerView): RoleSplit {
-  let readers = 0;
-  let writers = 0;
+  let prefillTargets = 0;
+  let decodeTargets = 0;
   for (const target of view.targets) {
     if (!target.accepting && target.changingTo === null) continue;
-    if ((target.changingTo ?? target.role) === EngineRole.Prefill) readers += 1;
-    else writers += 1;
+    if ((target.changingTo ?? target.role) === EngineRole.Prefill) prefillTargets += 1;
+    else decodeTargets += 1;
   }
-  return { readers, writers };
+  return { prefillTargets, decodeTargets };
 }
 
-function weigh(planner: RolePlanner, split: RoleSplit, readers: number, nowMs: number): Option {
-  const total = split.readers + split.writers;
-  const wanted = { readers, writers: total - readers };
+function evaluateSplit(
+  planner: RolePlanner,
+  split: RoleSplit,
+  prefillTargets: number,
+  nowMs: number,
+): SplitOption {
+  const total = split.prefillTargets + split.decodeTargets;
+  const newSplit = { prefillTargets, decodeTargets: total - prefillTargets };
   const { profile, horizonMs } = planner.options;
-  let gain = 0;
-  let weights = 0;
+  let weightedGain = 0;
+  let totalWeight = 0;
   for (const sample of planner.samples) {
     const weight = weightOf(planner, sample, nowMs);
-    const better = servedShare(profile, wanted, sample) - servedShare(profile, split, sample);
-    gain += better * sample.requestsPerS * weight;
-    weights += weight;
+    const servedShareGain =
+      servedShare(profile, newSplit, sample) - servedShare(profile, split, sample);
+    weightedGain += servedShareGain * sample.requestsPerS * weight;
+    totalWeight += weight;
   }
-  const costRequests = changeCostRequests(profile, split, wanted, meanDemand(planner, nowMs));
-  return { readers, gainRequests: ((gain / weights) * horizonMs) / 1000, costRequests };
+  const costRequests = changeCostRequests(profile, split, newSplit, meanDemand(planner, nowMs));
+  return {
+    prefillTargets,
+    gainRequests: ((weightedGain / totalWeight) * horizonMs) / 1000,
+    costRequests,
+  };
 }
 
 function weightOf(planner: RolePlanner, sample: DemandSample, nowMs: number): number {
@@ -233,36 +257,36 @@
   weightOfSample: (sample: DemandSample) => number,
   nowMs: number,
 ): DemandSample {
-  const mean = { requestsPerS: 0, prefillEngines: 0, savedEngines: 0, decodeEngines: 0 };
-  let weights = 0;
+  const mean = { requestsPerS: 0, prefillEngines: 0, cachedPrefillEngines: 0, decodeEngines: 0 };
+  let totalWeight = 0;
   for (const sample of samples) {
     const weight = weightOfSample(sample);
     mean.requestsPerS += sample.requestsPerS * weight;
     mean.prefillEngines += sample.prefillEngines * weight;
-    mean.savedEngines += sample.savedEngines * weight;
+    mean.cachedPrefillEngines += sample.cachedPrefillEngines * weight;
     mean.decodeEngines += sample.decodeEngines * weight;
-    weights += weight;
+    totalWeight += weight;
   }
   return {
     atMs: nowMs,
-    requestsPerS: mean.requestsPerS / weights,
-    prefillEngines: mean.prefillEngines / weights,
-    savedEngines: mean.savedEngines / weights,
-    decodeEngines: mean.decodeEngines / weights,
+    requestsPerS: mean.requestsPerS / totalWeight,
+    prefillEngines: mean.prefillEngines / totalWeight,
+    cachedPrefillEngines: mean.cachedPrefillEngines / totalWeight,
+    decodeEngines: mean.decodeEngines / totalWeight,
   };
 }
 
 function figuresOf(
   planner: RolePlanner,
   split: RoleSplit,
-  best: Option,
+  best: SplitOption,
   nowMs: number,
 ): Record<string, number> {
   const demand = meanDemand(planner, nowMs);
   return {
-    readers: split.readers,
-    writers: split.writers,
-    weighedReaders: best.readers,
+    readers: split.prefillTargets,
+    writers: split.decodeTargets,
+    weighedReaders: best.prefillTargets,
     gainRequests: round(best.gainRequests),
     costRequests: round(best.costRequests),
     neededRequests: round(neededGain(planner, best, nowMs)),
@@ -276,7 +300,7 @@
   return Math.round(value * 100) / 100;
 }
 
-function hold(
+function keepRoles(
   planner: RolePlanner,
   reason: string,
   figures: Readonly<Record<string, number>>,
@@ -287,22 +311,22 @@
   return { orders: [], events: [{ kind: EventKind.RoleDecision, service, reason, figures }] };
 }
 
-function change(
+function changeRoles(
   planner: RolePlanner,
   view: PlannerView,
-  moreReaders: number,
+  addedPrefillTargets: number,
   figures: Readonly<Record<string, number>>,
 ): RolePlan {
-  const role = moreReaders > 0 ? EngineRole.Prefill : EngineRole.Decode;
+  const role = addedPrefillTargets > 0 ? EngineRole.Prefill : EngineRole.Decode;
   const orders: WantedOrder[] = [];
-  const taken = new Set<string>();
-  for (let count = 0; count < Math.abs(moreReaders); count += 1) {
-    const target = chooseTarget(view.targets, role, taken, planner.options.floorTargets);
+  const chosenNames = new Set<string>();
+  for (let count = 0; count < Math.abs(addedPrefillTargets); count += 1) {
+    const target = chooseTarget(view.targets, role, chosenNames, planner.options.floorTargets);
     if (target === null) break;
-    taken.add(target);
+    chosenNames.add(target);
     orders.push({ target, role });
   }
-  if (orders.length === 0) return hold(planner, 'no target may be taken away now', figures);
+  if (orders.length === 0) return keepRoles(planner, 'no target may be taken away now', figures);
   const reason = role === EngineRole.Prefill ? 'more readers pay back' : 'more writers pay back';
   planner.lastReason = reason;
   const service = planner.options.service;
--- a/packages/coordination/test/core/roles/planner.test.ts
+++ b/packages/coordination/test/core/roles/planner.test.ts
@@ -1,4 +1,4 @@
-/** The role planner: when it changes, when it does not, and whom. */
+/** The role planner: when roles change, when they are kept, and which target changes. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import {
@@ -24,8 +24,8 @@
   readonly decode: number;
 }
 
-const DRAFTING: Demand = { prefill: 1.3, decode: 4.8 };
-const READING: Demand = { prefill: 3.9, decode: 2.2 };
+const DECODING: Demand = { prefill: 1.3, decode: 4.8 };
+const PREFILLING: Demand = { prefill: 3.9, decode: 2.2 };
 
 function plannerOf(floorTargets = 1): RolePlanner {
   return createRolePlanner({
@@ -36,9 +36,9 @@
   });
 }
 
-function targetsOf(readers: number, nowMs: number, total = 8): PlannerTarget[] {
+function targetsOf(prefillTargets: number, nowMs: number, total = 8): PlannerTarget[] {
   return Array.from({ length: total }, (_, index) => {
-    const role = index < readers ? EngineRole.Prefill : EngineRole.Decode;
+    const role = index < prefillTargets ? EngineRole.Prefill : EngineRole.Decode;
     const name = `t${String(index)}`;
     return {
       name,
@@ -68,101 +68,101 @@
   return { targets, demand: [demand], entriesAlive: 1 };
 }
 
-/** Plans once a second; gives the plans that order something. */
+/** Plans once a second and returns the plans that contain orders. */
 function run(
   planner: RolePlanner,
-  readers: number,
+  prefillTargets: number,
   seconds: number,
   demandAt: (second: number) => Demand,
 ): RolePlan[] {
-  const ordering: RolePlan[] = [];
+  const plansWithOrders: RolePlan[] = [];
   for (let second = 1; second <= seconds; second += 1) {
     const nowMs = second * 1000;
     const demand = demandOf(demandAt(second), nowMs, second);
-    const plan = planRoles(planner, viewOf(targetsOf(readers, nowMs), demand), nowMs);
-    if (plan.orders.length > 0) ordering.push(plan);
+    const plan = planRoles(planner, viewOf(targetsOf(prefillTargets, nowMs), demand), nowMs);
+    if (plan.orders.length > 0) plansWithOrders.push(plan);
   }
-  return ordering;
+  return plansWithOrders;
 }
 
 describe('role planner', () => {
-  describe('a shift that lasts', () => {
-    it('gets more readers when reading grows, with its figures in the time line', () => {
-      const plans = run(plannerOf(), 2, 60, (second) => (second < 30 ? DRAFTING : READING));
+  describe('a lasting shift of the mix', () => {
+    it('adds prefill targets when prefill demand grows, with figures in the time line', () => {
+      const plans = run(plannerOf(), 2, 60, (second) => (second < 30 ? DECODING : PREFILLING));
       const [first] = plans;
       assert.equal(first?.orders[0]?.role, EngineRole.Prefill);
       assert.equal(first.events[0]?.kind, EventKind.RoleDecision);
       assert.ok(Number(first.events[0].figures?.['gainRequests']) > 0);
     });
 
-    it('gets more writers when reading ends', () => {
-      const plans = run(plannerOf(), 5, 60, (second) => (second < 30 ? READING : DRAFTING));
+    it('adds decode targets when prefill demand drops', () => {
+      const plans = run(plannerOf(), 5, 60, (second) => (second < 30 ? PREFILLING : DECODING));
       assert.equal(plans[0]?.orders[0]?.role, EngineRole.Decode);
     });
   });
 
-  describe('what does not pay back', () => {
-    it('leaves the roles alone under a steady mix, and says so once', () => {
+  describe('a change that costs more than it gains', () => {
+    it('is not made under a steady mix, and the reason is recorded', () => {
       const planner = plannerOf();
       assert.deepEqual(
-        run(planner, 2, 120, () => DRAFTING),
+        run(planner, 2, 120, () => DECODING),
         [],
       );
       assert.equal(planner.lastReason, 'no change would pay back');
     });
 
-    it('does not chase swings of a few seconds around a mix that the roles fit', () => {
+    it('is not made for swings of a few seconds around a mix that fits the roles', () => {
       const swing = (second: number): Demand =>
         second % 8 < 4 ? { prefill: 1, decode: 4.2 } : { prefill: 2.6, decode: 3.4 };
       assert.deepEqual(run(plannerOf(), 3, 240, swing), []);
     });
   });
 
-  describe('reports that cannot be trusted', () => {
-    // An operator sees a role change in the middle of a partition, for a mix that is long over.
-    // The planner is cut off, its reports age or stand still, and it must hold instead.
-    it('holds when demand reports are old', () => {
+  describe('outdated reports', () => {
+    // During a partition, the planner receives no new reports, or the same ones repeatedly. It must
+    // not change roles for a mix that ended long ago.
+    it('keep the roles when demand reports are old', () => {
       const planner = plannerOf();
-      run(planner, 2, 30, () => READING);
-      const old = viewOf(targetsOf(2, 60_000), demandOf(READING, 30_000, 31));
+      run(planner, 2, 30, () => PREFILLING);
+      const old = viewOf(targetsOf(2, 60_000), demandOf(PREFILLING, 30_000, 31));
       assert.deepEqual(planRoles(planner, old, 60_000).orders, []);
       assert.equal(planner.lastReason, 'demand reports are too old');
     });
 
-    it('holds when load reports are old', () => {
+    it('keep the roles when load reports are old', () => {
       const planner = plannerOf();
-      const stale = viewOf(targetsOf(2, 0), demandOf(READING, 60_000, 1));
+      const stale = viewOf(targetsOf(2, 0), demandOf(PREFILLING, 60_000, 1));
       planRoles(planner, stale, 60_000);
       assert.equal(planner.lastReason, 'load reports are too old');
     });
 
-    it('learns nothing from a report that stands still', () => {
+    it('are counted once when the same report is repeated', () => {
       const planner = plannerOf();
       for (let second = 1; second <= 60; second += 1) {
         const nowMs = second * 1000;
-        planRoles(planner, viewOf(targetsOf(2, nowMs), demandOf(READING, nowMs, 1)), nowMs);
+        planRoles(planner, viewOf(targetsOf(2, nowMs), demandOf(PREFILLING, nowMs, 1)), nowMs);
       }
       assert.equal(planner.samples.length, 1);
     });
   });
 
-  describe('the target that changes', () => {
-    it('keeps the floor', () => {
+  describe('the target of a change', () => {
+    it('is not chosen when too few targets would keep serving', () => {
       assert.deepEqual(
-        run(plannerOf(8), 2, 60, () => READING),
+        run(plannerOf(8), 2, 60, () => PREFILLING),
         [],
       );
     });
 
-    it('is in a failure domain with the fewest of the role', () => {
-      const [plan] = run(plannerOf(), 2, 60, () => READING);
-      // Readers stand in d0 and d1; t2, t5 are the writers in d2.
+    it('is in the failure domain with the fewest targets of the role', () => {
+      const [plan] = run(plannerOf(), 2, 60, () => PREFILLING);
+      // The prefill targets are in d0 and d1; t2 and t5 are the decode targets in d2.
       assert.ok(['t2', 't5'].includes(plan?.orders[0]?.target ?? ''));
     });
 
-    it('waits while as many change as may', () => {
+    it('is not chosen while the maximum number of targets is changing', () => {
       const planner = plannerOf();
-      run(planner, 2, 30, () => READING);
+      run(planner, 2, 30, () => PREFILLING);
       const changing = targetsOf(2, 31_000).map((target, index) =>
         index < 6 ? target : { ...target, accepting: false, changingTo: EngineRole.Prefill },
       );
@@ -171,9 +171,9 @@
     });
   });
 
-  it('keeps a bounded history', () => {
+  it('keeps a limited number of samples', () => {
     const planner = plannerOf();
-    run(planner, 2, 500, () => DRAFTING);
+    run(planner, 2, 500, () => DECODING);
     assert.equal(planner.samples.length, 120);
   });
 });
