--- a/packages/coordination/src/core/loads/index.ts
+++ b/packages/coordination/src/core/loads/index.ts
@@ -1,2 +1,2 @@
-/** Loads of models, adapters and versions within the weight store's rate. */
+/** Planning of model, adapter and version loads within the rate of the weight store. */
 export * from './load-planner.js';
--- a/packages/coordination/src/core/loads/load-planner.ts
+++ b/packages/coordination/src/core/loads/load-planner.ts
@@ -1,12 +1,13 @@
 /**
- * Rolling models, adapters and versions out ahead of need, within the rate of the weight store. A
- * bucket of megabytes paces the loads, few run at a time, and a "slow down" stops new ones for a
- * jittered time that doubles, so that a failure domain which returns with empty engines does not
- * make every planner ask at once.
+ * Plans which models, adapters and versions are loaded onto targets before requests need them,
+ * within the rate of the weight store. A token bucket of megabytes paces the loads, and only a few
+ * run at a time. After a "slow down" answer, new loads wait for a jittered exponential backoff.
+ * This prevents all planners from calling the store at once when a failure domain returns with
+ * empty engines.
  */
 import type { Random } from '../random/random.js';
 
-/** A load that someone wants. */
+/** A requested load of a model or adapter onto a target. */
 export interface LoadWish {
   readonly target: string;
   readonly service: string;
@@ -16,11 +17,11 @@
   /** Null for the model itself. */
   readonly adapter: string | null;
   readonly sizeMb: number;
-  /** Targets of the service that hold it already: the fewer, the more urgent. */
+  /** Number of the service's targets that already have it: the fewer, the more urgent. */
   readonly holders: number;
 }
 
-/** What the weight store says. */
+/** The status that the weight store reports. */
 export interface StoreStatus {
   readonly rateMbPerS: number;
   readonly activeFetches: number;
@@ -30,25 +31,25 @@
 /** How a load ended. */
 export enum LoadOutcome {
   Done = 'done',
-  /** The store said "slow down". */
+  /** The store answered "slow down". */
   SlowDown = 'slow-down',
   Failed = 'failed',
 }
 
-/** Settings of the load planner. */
+/** Options of the load planner. */
 export interface LoadOptions {
-  /** Share of the store's rate that this planner may use; the others of the deployment use the rest. */
+  /** Share of the store's rate that this planner may use; the deployment's others use the rest. */
   readonly rateShareRatio: number;
-  /** Most that the bucket holds, in seconds of its rate: a load may run ahead by this much. */
+  /** Capacity of the token bucket, in seconds of its rate: loads may exceed the rate by this much. */
   readonly burstS: number;
   readonly maxActive: number;
   readonly slowDownMs: number;
   readonly maxSlowDownMs: number;
-  /** Guard: whether "slow down" is obeyed. */
+  /** Whether new loads wait after a "slow down" answer. */
   readonly obeysSlowDown: boolean;
 }
 
-/** The default settings; see docs/design/planned-change.md. */
+/** The default options; see docs/design/planned-change.md. */
 export const LOAD_OPTIONS: LoadOptions = {
   rateShareRatio: 0.5,
   burstS: 10,
@@ -58,19 +59,25 @@
   obeysSlowDown: true,
 };
 
-/** The state of a planner's loads. */
+/** The state of the loads of one planner. */
 export interface LoadState {
   readonly options: LoadOptions;
-  /** May fall below zero: a load larger than the bucket runs once it is full, and is paid off after. */
+  /**
+   * Tokens in the bucket. Negative after a load larger than the bucket, which starts when the
+   * bucket is full and delays the next loads until its size is refilled.
+   */
   bucketMb: number;
   refilledAtMs: number;
   notBeforeMs: number;
   slowDowns: number;
-  /** Targets that load now; at most `maxActive`. */
+  /** Loads in progress by target; at most `maxActive`. */
   readonly active: Map<string, LoadWish>;
 }
 
-/** Nothing loads yet; the bucket is empty, so that a planner which just took over asks gently. */
+/**
+ * Creates a state without loads. The bucket starts empty to limit the loads right after a planner
+ * takes over.
+ */
 export function createLoads(options: LoadOptions, nowMs: number): LoadState {
   return {
     options,
@@ -82,57 +89,60 @@
   };
 }
 
-function capacityMb(state: LoadState, status: StoreStatus): number {
+function bucketCapacityMb(state: LoadState, status: StoreStatus): number {
   return status.rateMbPerS * state.options.rateShareRatio * state.options.burstS;
 }
 
-function refill(state: LoadState, status: StoreStatus, nowMs: number): void {
+function refillBucket(state: LoadState, status: StoreStatus, nowMs: number): void {
   const elapsedS = Math.max(0, nowMs - state.refilledAtMs) / 1_000;
-  const gainedMb = elapsedS * status.rateMbPerS * state.options.rateShareRatio;
-  state.bucketMb = Math.min(capacityMb(state, status), state.bucketMb + gainedMb);
+  const refilledMb = elapsedS * status.rateMbPerS * state.options.rateShareRatio;
+  state.bucketMb = Math.min(bucketCapacityMb(state, status), state.bucketMb + refilledMb);
   state.refilledAtMs = nowMs;
 }
 
-/** Fewest holders first; among equals a domain without a load under way, then by name. */
-function byNeed(state: LoadState): (one: LoadWish, other: LoadWish) => number {
-  const busyDomains = new Set([...state.active.values()].map((wish) => wish.failureDomain));
-  const busy = (wish: LoadWish): number => (busyDomains.has(wish.failureDomain) ? 1 : 0);
-  return (one, other) =>
-    one.holders - other.holders ||
-    busy(one) - busy(other) ||
-    (one.target < other.target ? -1 : one.target > other.target ? 1 : 0);
+/**
+ * Returns a comparator by urgency: fewest holders first, then failure domains without a load in
+ * progress, then by target name.
+ */
+function createUrgencyComparator(state: LoadState): (a: LoadWish, b: LoadWish) => number {
+  const loadingDomains = new Set([...state.active.values()].map((load) => load.failureDomain));
+  const loadingRank = (load: LoadWish): number => (loadingDomains.has(load.failureDomain) ? 1 : 0);
+  return (a, b) =>
+    a.holders - b.holders ||
+    loadingRank(a) - loadingRank(b) ||
+    (a.target < b.target ? -1 : a.target > b.target ? 1 : 0);
 }
 
 /**
- * The loads to start now. Failure guarded against: a stampede on the weight store after a failure
- * domain returned. It shows as "slow down" answers, each of which puts off every new load.
+ * Returns the loads to start now. Prevents a thundering herd on the weight store after a failure
+ * domain returned: each "slow down" answer delays all new loads.
  */
 export function planLoads(
   state: LoadState,
-  wishes: readonly LoadWish[],
+  requestedLoads: readonly LoadWish[],
   status: StoreStatus,
   context: { readonly nowMs: number; readonly random: Random },
 ): LoadWish[] {
-  refill(state, status, context.nowMs);
+  refillBucket(state, status, context.nowMs);
   if (status.retryAfterMs > 0 && state.options.obeysSlowDown) {
     const jitteredMs = status.retryAfterMs * (1 + context.random() / 2);
     state.notBeforeMs = Math.max(state.notBeforeMs, context.nowMs + jitteredMs);
   }
-  const started: LoadWish[] = [];
+  const startedLoads: LoadWish[] = [];
   while (context.nowMs >= state.notBeforeMs && state.active.size < state.options.maxActive) {
-    const open = wishes.filter((wish) => !state.active.has(wish.target));
-    const [next] = open.sort(byNeed(state));
+    const waitingLoads = requestedLoads.filter((load) => !state.active.has(load.target));
+    const [next] = waitingLoads.sort(createUrgencyComparator(state));
     if (next === undefined) break;
-    const neededMb = Math.min(next.sizeMb, capacityMb(state, status));
+    const neededMb = Math.min(next.sizeMb, bucketCapacityMb(state, status));
     if (state.bucketMb < neededMb || neededMb <= 0) break;
     state.bucketMb -= next.sizeMb;
     state.active.set(next.target, next);
-    started.push(next);
+    startedLoads.push(next);
   }
-  return started;
+  return startedLoads;
 }
 
-/** A load ended; one that the store put off is wished for again by the caller. */
+/** Handles the end of a load. After "slow down", the caller must request the load again. */
 export function loadEnded(
   state: LoadState,
   target: string,
@@ -143,8 +153,8 @@
   if (outcome === LoadOutcome.Done) state.slowDowns = 0;
   if (outcome !== LoadOutcome.SlowDown || !state.options.obeysSlowDown) return;
   const { slowDownMs, maxSlowDownMs } = state.options;
-  const boundMs = Math.min(maxSlowDownMs, slowDownMs * 2 ** Math.min(state.slowDowns, 16));
+  const backoffMs = Math.min(maxSlowDownMs, slowDownMs * 2 ** Math.min(state.slowDowns, 16));
   state.slowDowns += 1;
-  const waitMs = boundMs * (0.5 + context.random() / 2);
+  const waitMs = backoffMs * (0.5 + context.random() / 2);
   state.notBeforeMs = Math.max(state.notBeforeMs, context.nowMs + waitMs);
 }
--- a/packages/coordination/test/core/loads/load-planner.test.ts
+++ b/packages/coordination/test/core/loads/load-planner.test.ts
@@ -1,4 +1,4 @@
-/** Loads within the weight store's rate. */
+/** Planning of loads within the rate of the weight store. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { LoadWish, StoreStatus } from '../../../src/index.js';
@@ -13,7 +13,7 @@
 
 const STORE: StoreStatus = { rateMbPerS: 100, activeFetches: 0, retryAfterMs: 0 };
 
-function wish(index: number, changes: Partial<LoadWish> = {}): LoadWish {
+function loadOf(index: number, changes: Partial<LoadWish> = {}): LoadWish {
   return {
     target: `t${String(index)}`,
     service: 'a',
@@ -33,24 +33,25 @@
 
 describe('loads', () => {
   /**
-   * A failure domain returns with a hundred empty engines. Left alone each would fetch its weights
-   * at once, and the store, which serves a few, would turn all of them away again and again.
+   * A failure domain returns with a hundred empty engines. Without planning, all engines would
+   * fetch their weights at once, and the store, which serves a few at a time, would reject them
+   * repeatedly.
    */
   describe('after a failure domain returned', () => {
-    it('start few at a time and stay under the share of the rate', () => {
+    it('start a few at a time and stay within the share of the rate', () => {
       const state = createLoads(LOAD_OPTIONS, 0);
       const random = seededRandom(1);
-      let wishes = Array.from({ length: 100 }, (_, index) => wish(index));
-      const ends: { target: string; atMs: number }[] = [];
+      let requestedLoads = Array.from({ length: 100 }, (_, index) => loadOf(index));
+      const loadEnds: { target: string; atMs: number }[] = [];
       let startedMb = 0;
       for (let nowMs = 0; nowMs <= 120_000; nowMs += 100) {
-        for (const ended of ends.filter(({ atMs }) => atMs === nowMs)) {
+        for (const ended of loadEnds.filter(({ atMs }) => atMs === nowMs)) {
           loadEnded(state, ended.target, LoadOutcome.Done, { nowMs, random });
         }
-        for (const started of planLoads(state, wishes, STORE, { nowMs, random })) {
+        for (const started of planLoads(state, requestedLoads, STORE, { nowMs, random })) {
           startedMb += started.sizeMb;
-          ends.push({ target: started.target, atMs: nowMs + 2_000 });
-          wishes = wishes.filter((other) => other.target !== started.target);
+          loadEnds.push({ target: started.target, atMs: nowMs + 2_000 });
+          requestedLoads = requestedLoads.filter((load) => load.target !== started.target);
         }
         assert.ok(state.active.size <= LOAD_OPTIONS.maxActive);
         assert.ok(startedMb <= (nowMs / 1_000) * 50 + 500);
@@ -58,44 +59,44 @@
       assert.ok(startedMb >= 5_000);
     });
 
-    it('go to where the fewest hold the model, then to another failure domain', () => {
+    it('start with the model with the fewest holders, then in another failure domain', () => {
       const state = createLoads(LOAD_OPTIONS, 0);
-      const wishes = [wish(0, { holders: 4 }), wish(1), wish(4), wish(2)];
-      const started = planLoads(state, wishes, STORE, at(60_000));
+      const requestedLoads = [loadOf(0, { holders: 4 }), loadOf(1), loadOf(4), loadOf(2)];
+      const started = planLoads(state, requestedLoads, STORE, at(60_000));
       assert.deepEqual(
         started.map((load) => load.target),
         ['t1', 't2', 't4'],
       );
     });
 
-    it('let a model larger than the bucket through once it is full', () => {
+    it('start a model larger than the bucket when the bucket is full', () => {
       const state = createLoads(LOAD_OPTIONS, 0);
-      const large = wish(0, { sizeMb: 5_000 });
-      assert.deepEqual(planLoads(state, [large], STORE, at(9_900)), []);
-      assert.deepEqual(planLoads(state, [large], STORE, at(10_000)), [large]);
-      assert.deepEqual(planLoads(state, [wish(1)], STORE, at(60_000)), []);
+      const largeLoad = loadOf(0, { sizeMb: 5_000 });
+      assert.deepEqual(planLoads(state, [largeLoad], STORE, at(9_900)), []);
+      assert.deepEqual(planLoads(state, [largeLoad], STORE, at(10_000)), [largeLoad]);
+      assert.deepEqual(planLoads(state, [loadOf(1)], STORE, at(60_000)), []);
     });
   });
 
-  describe('told to slow down', () => {
-    it('wait for twice as long each time, jittered, up to a bound', () => {
+  describe('after a "slow down" answer', () => {
+    it('wait twice as long each time, with jitter, up to a maximum', () => {
       const state = createLoads(LOAD_OPTIONS, 0);
-      const waits: number[] = [];
+      const waitsMs: number[] = [];
       for (let time = 0; time < 10; time += 1) {
         state.notBeforeMs = 0;
         loadEnded(state, 't0', LoadOutcome.SlowDown, at(0));
-        waits.push(state.notBeforeMs);
+        waitsMs.push(state.notBeforeMs);
       }
-      assert.deepEqual(waits.slice(0, 3), [1_500, 3_000, 6_000]);
-      assert.ok(Math.max(...waits) <= LOAD_OPTIONS.maxSlowDownMs);
+      assert.deepEqual(waitsMs.slice(0, 3), [1_500, 3_000, 6_000]);
+      assert.ok(Math.max(...waitsMs) <= LOAD_OPTIONS.maxSlowDownMs);
     });
 
-    it('by the status start nothing until after it', () => {
+    it("do not start before the time in the store's status has passed", () => {
       const state = createLoads(LOAD_OPTIONS, 0);
-      const slow = { ...STORE, retryAfterMs: 4_000 };
-      assert.deepEqual(planLoads(state, [wish(0)], slow, at(60_000)), []);
-      assert.deepEqual(planLoads(state, [wish(0)], STORE, at(64_900)), []);
-      assert.equal(planLoads(state, [wish(0)], STORE, at(65_000)).length, 1);
+      const slowStore = { ...STORE, retryAfterMs: 4_000 };
+      assert.deepEqual(planLoads(state, [loadOf(0)], slowStore, at(60_000)), []);
+      assert.deepEqual(planLoads(state, [loadOf(0)], STORE, at(64_900)), []);
+      assert.equal(planLoads(state, [loadOf(0)], STORE, at(65_000)).length, 1);
     });
   });
 });
