--- a/packages/coordination/src/core/forwarding/crash-memory.ts
+++ b/packages/coordination/src/core/forwarding/crash-memory.ts
@@ -1,55 +1,57 @@
 /**
- * Requests during which targets broke off, by their content, over all gateways. The load pattern: one
- * request crashes each target that runs it, and its caller sends it again and again, through any
- * gateway. A request is known by its content, since each sending has an id of its own.
+ * Tracks which request contents crashed which targets, across all gateways. A request that crashes
+ * every target that runs it would otherwise take down one target after another, because its caller
+ * retries it through any gateway. Requests are identified by a hash of their content, since each
+ * attempt has its own id.
  */
 
-/** A target broke off while it ran a content. */
+/** Records that a target crashed while it ran a request with this content. */
 export interface CrashNote {
-  /** Hash of what the request is. */
+  /** Hash of the request content. */
   readonly content: string;
-  /** The start of the target that broke off. */
+  /** Id of the target that crashed; each start of a target has its own id. */
   readonly target: string;
 }
 
-/** What is known of crashes. */
+/** The crashes known to one gateway. */
 export interface CrashMemory {
   readonly targetsByContent: Map<string, Set<string>>;
-  /** Contents that a target ran whole lately: what broke off around them was not their doing. */
+  /** Contents that a target recently ran to completion; crashes during them had another cause. */
   readonly cleared: Set<string>;
 }
 
 /**
- * Targets that a content must have broken off to be run no more: one or two are bad luck on a day on
- * which targets crash by themselves.
+ * Number of distinct targets that must crash on a content before it is rejected. One or two crashes
+ * can be a coincidence while targets crash for other reasons.
  */
 const CONVICTING_TARGETS = 3;
-/** Contents that are remembered as harmless; the oldest are forgotten first. */
+/** Most contents kept as harmless; the oldest are evicted first. */
 const MAX_CLEARED = 1024;
 
-/** Nothing known. */
+/** Creates an empty crash memory. */
 export function createCrashMemory(): CrashMemory {
   return { targetsByContent: new Map(), cleared: new Set() };
 }
 
-/** Takes in a crash; the same one again changes nothing. */
+/** Records a crash. Recording the same crash again has no effect. */
 export function rememberCrash(memory: CrashMemory, { content, target }: CrashNote): void {
   const targets = memory.targetsByContent.get(content) ?? new Set();
   targets.add(target);
   memory.targetsByContent.set(content, targets);
 }
 
-/** A crash is so old that it counts no more. */
-export function forgetCrash(memory: CrashMemory, { content, target }: CrashNote): void {
+/** Removes a crash that has expired or was withdrawn. */
+export function removeCrash(memory: CrashMemory, { content, target }: CrashNote): void {
   const targets = memory.targetsByContent.get(content);
   targets?.delete(target);
   if (targets?.size === 0) memory.targetsByContent.delete(content);
 }
 
 /**
- * A target ran a content whole. Remembered also of contents that nothing is known against yet: many
- * callers may send the same content, and targets that crash by themselves break off some of it.
- * Gives what was noted against it, which counts no more for anybody.
+ * Records that a target ran a content to completion and returns the crashes recorded for it, so
+ * that the caller can delete them for all gateways. Contents without crashes are recorded too: many
+ * callers may send the same content, and targets that crash for other reasons interrupt some of
+ * these requests.
  */
 export function clearContent(memory: CrashMemory, content: string): readonly CrashNote[] {
   const targets = memory.targetsByContent.get(content) ?? new Set();
@@ -62,9 +64,10 @@
 }
 
 /**
- * Whether a content is run no more. Guards the fleet against a request that crashes what runs it: it
- * shows as one target lost after another, and with each all that ran beside it. The guard holds
- * because crashes are counted by content and shared by all gateways.
+ * Returns whether requests with this content are rejected. Without this check, a request that
+ * crashes its target would take down one target after another, along with all other requests that
+ * run there. Crashes are counted by content and shared by all gateways, so it does not matter which
+ * gateway receives the retry.
  */
 export function isConvictedContent(memory: CrashMemory, content: string): boolean {
   const targets = memory.targetsByContent.get(content)?.size ?? 0;
--- a/packages/coordination/src/core/forwarding/event-framing.ts
+++ b/packages/coordination/src/core/forwarding/event-framing.ts
@@ -1,18 +1,20 @@
 /**
- * Cuts a series of server-sent events into whole events without changing a byte. An engine may
- * break off in the middle of an event: only whole ones are passed on, so that a caller never gets
- * half of one, and another engine can go on after the last.
+ * Splits a stream of server-sent events at event boundaries without changing a byte. An engine may
+ * fail in the middle of an event. Only complete events are forwarded, so that a caller never
+ * receives a partial one and another engine can continue after the last complete event.
  */
 
-/** Bytes that are not a whole event yet, and the number of the last whole one. */
+/** State of the framing of one stream. */
 export interface EventFraming {
+  /** Bytes received after the last complete event. */
   rest: Buffer;
-  /** Null until an event with an id came. */
+  /** Id of the last complete event that had one; null before the first. */
   lastEventId: string | null;
+  /** Number of complete events that had an id. */
   events: number;
 }
 
-/** Nothing read. */
+/** Creates the state of a stream of which no bytes have been received. */
 export function createEventFraming(): EventFraming {
   return { rest: Buffer.alloc(0), lastEventId: null, events: 0 };
 }
@@ -21,32 +23,32 @@
 const CARRIAGE_RETURN = 0x0d;
 const ID_LINE = /^id:[ ]?(.*)$/gm;
 
-/** Takes in bytes; gives those of the events that are whole now, empty if there are none. */
+/** Adds received bytes and returns the bytes of all events that are now complete, possibly none. */
 export function takeEventBytes(framing: EventFraming, chunk: Buffer): Buffer {
   const bytes = framing.rest.length === 0 ? chunk : Buffer.concat([framing.rest, chunk]);
   const end = endOfLastEvent(bytes);
   framing.rest = bytes.subarray(end);
-  const whole = bytes.subarray(0, end);
-  if (end > 0) noteEvents(framing, whole.toString('utf8'));
-  return whole;
+  const completeEvents = bytes.subarray(0, end);
+  if (end > 0) recordEventIds(framing, completeEvents.toString('utf8'));
+  return completeEvents;
 }
 
-/** Whether bytes came that are no whole event. */
+/** Returns whether the stream currently ends with an incomplete event. */
 export function hasPartialEvent(framing: EventFraming): boolean {
   return framing.rest.length > 0;
 }
 
-/** Offset after the last empty line, which ends an event; 0 if there is none. */
+/** Returns the offset after the last empty line, which terminates an event, or 0 without one. */
 function endOfLastEvent(bytes: Buffer): number {
-  for (let at = bytes.length - 1; at > 0; at -= 1) {
-    if (bytes[at] !== LINE_FEED) continue;
-    const before = bytes[at - 1] === CARRIAGE_RETURN ? at - 2 : at - 1;
-    if (before >= 0 && bytes[before] === LINE_FEED) return at + 1;
+  for (let offset = bytes.length - 1; offset > 0; offset -= 1) {
+    if (bytes[offset] !== LINE_FEED) continue;
+    const previous = bytes[offset - 1] === CARRIAGE_RETURN ? offset - 2 : offset - 1;
+    if (previous >= 0 && bytes[previous] === LINE_FEED) return offset + 1;
   }
   return 0;
 }
 
-function noteEvents(framing: EventFraming, text: string): void {
+function recordEventIds(framing: EventFraming, text: string): void {
   for (const match of text.matchAll(ID_LINE)) {
     framing.lastEventId = (match[1] ?? '').trimEnd();
     framing.events += 1;
--- a/packages/coordination/src/core/forwarding/fleet-view.ts
+++ b/packages/coordination/src/core/forwarding/fleet-view.ts
@@ -1,35 +1,35 @@
 /**
- * The fleet as one gateway sees it, from a listing and the changes after it. Changes may be missed,
- * repeated or old; revisions put them in order. Entries of targets lapse while the store is away
- * and come back soon after it, so a target whose entry vanished around an outage stays in doubt for
- * a moment before it is taken as gone.
+ * Maintains one gateway's view of the fleet from a listing of the store and the changes after it.
+ * Changes may be missed, duplicated or stale; store revisions put them in order. Entries of targets
+ * expire while the store is unavailable and reappear soon after it returns, so a target whose entry
+ * disappears around an outage is removed only after a grace period.
  */
 import {
   type CrashMemory,
   type CrashNote,
   createCrashMemory,
-  forgetCrash,
+  removeCrash,
   rememberCrash,
 } from './crash-memory.js';
 import type { FleetConfiguration, TargetEntry } from './fleet.js';
-import { type RouteTable, newerTable } from './route-table.js';
+import { type RouteTable, newerRouteTable } from './route-table.js';
 
-/** Another gateway that lives. */
+/** A live gateway. */
 export interface GatewayEntry {
-  /** Its `host:port` for calls between gateways. */
+  /** The gateway's `host:port` for calls between gateways. */
   readonly id: string;
   readonly failureDomain: string;
-  /** Part of a core that it may use. */
+  /** Fraction of a CPU core that it may use. */
   readonly coreShare: number;
 }
 
-/** A gateway as the others see it. */
+/** A gateway as other gateways see it. */
 export interface AnnouncedGateway extends GatewayEntry {
-  /** The store's revision at which it was announced: once at each start, and after a lapse. */
+  /** Store revision of its announcement, which is written at each start and after it expired. */
   readonly announcedAtRevision: number;
 }
 
-/** Kinds of change. */
+/** The kinds of fleet changes. */
 export enum FleetChangeKind {
   Configuration = 'configuration',
   Target = 'target',
@@ -40,7 +40,7 @@
   CrashForgotten = 'crash-forgotten',
 }
 
-/** One change; `revision` is the store's, and only grows. */
+/** A change of the fleet. `revision` is the store's revision, which only increases. */
 export type FleetChange =
   | {
       readonly kind: FleetChangeKind.Configuration;
@@ -73,44 +73,48 @@
       readonly id: string;
     };
 
-/** A target and what is known of its entry. */
-interface SeenTarget {
+/** A target and the state of its entry in the store. */
+interface KnownTarget {
   readonly entry: TargetEntry;
   readonly revision: number;
-  /** When its entry was seen to be missing, null while it stands. */
+  /** When its entry was first found missing; null while the entry exists. */
   missingSinceMs: number | null;
 }
 
-/** What a gateway knows. */
+/** What one gateway knows of the fleet. */
 export interface FleetView {
   table: RouteTable | null;
-  readonly targets: Map<string, SeenTarget>;
-  /** The newest start of each name that is registered. */
+  readonly targets: Map<string, KnownTarget>;
+  /** Id of the newest start for each registered name. */
   readonly idsByName: Map<string, string>;
   readonly gateways: Map<string, AnnouncedGateway>;
-  /** The store's revision up to which changes are known; 0 before the first listing. */
+  /** Store revision up to which all changes are applied; 0 before the first listing. */
   revision: number;
-  /** When the store last answered. */
+  /** Time of the last answer from the store. */
   confirmedAtMs: number;
-  /** Until when a missing entry may only have lapsed with the store. */
-  doubtUntilMs: number;
-  /** Names of targets that left; an old change must not bring them back. */
-  readonly goneAtRevision: Map<string, number>;
-  /** Requests during which targets broke off. */
+  /**
+   * End of the grace period after the last outage, in which a missing entry may merely have
+   * expired.
+   */
+  graceUntilMs: number;
+  /** Removal revision by name of removed targets, so that a stale change does not restore them. */
+  readonly removedAtRevision: Map<string, number>;
+  /** Request contents that crashed targets. */
   readonly crashes: CrashMemory;
 }
 
 /**
- * How long after an outage a missing entry is doubted. Entries that lapsed are back within about
- * two seconds; new work must stop within the same time of a true leaving, so the doubt is shorter.
+ * Grace period after an outage in which targets with a missing entry are kept. Expired entries are
+ * back within about two seconds. New work must stop within the same time when a target really
+ * leaves, so the grace period is shorter.
  */
-export const LAPSE_DOUBT_MS = 1500;
-/** Silence of the store that counts as an outage; a waiting watch is silent for less. */
-export const OUTAGE_SILENCE_MS = 2500;
-/** Departures that are remembered. */
-const MAX_GONE = 4096;
+export const EXPIRY_GRACE_MS = 1500;
+/** Time without an answer that counts as a store outage; a waiting watch answers sooner. */
+export const OUTAGE_INACTIVITY_MS = 2500;
+/** Most removed targets whose removal revision is kept. */
+const MAX_REMOVED_NAMES = 4096;
 
-/** A view of nothing. */
+/** Creates an empty view. */
 export function createFleetView(): FleetView {
   return {
     table: null,
@@ -119,20 +123,20 @@
     gateways: new Map(),
     revision: 0,
     confirmedAtMs: 0,
-    doubtUntilMs: 0,
-    goneAtRevision: new Map(),
+    graceUntilMs: 0,
+    removedAtRevision: new Map(),
     crashes: createCrashMemory(),
   };
 }
 
-/** The store answered: the view is confirmed up to now. */
+/** Records that the store answered. An answer after an outage starts the grace period. */
 export function noteStoreAnswer(view: FleetView, nowMs: number): void {
-  const wasAway = view.revision > 0 && nowMs - view.confirmedAtMs > OUTAGE_SILENCE_MS;
-  if (wasAway) view.doubtUntilMs = nowMs + LAPSE_DOUBT_MS;
+  const isAfterOutage = view.revision > 0 && nowMs - view.confirmedAtMs > OUTAGE_INACTIVITY_MS;
+  if (isAfterOutage) view.graceUntilMs = nowMs + EXPIRY_GRACE_MS;
   view.confirmedAtMs = nowMs;
 }
 
-/** Takes in a whole listing: what it lacks has left. */
+/** Applies a complete listing and removes the targets and gateways that it does not contain. */
 export function applyListing(
   view: FleetView,
   changes: readonly FleetChange[],
@@ -154,7 +158,7 @@
   applyChanges(view, changes, revision, nowMs);
 }
 
-/** Takes in changes up to a revision. */
+/** Applies all changes up to a revision. */
 export function applyChanges(
   view: FleetView,
   changes: readonly FleetChange[],
@@ -168,7 +172,7 @@
 function applyChange(view: FleetView, change: FleetChange, nowMs: number): void {
   switch (change.kind) {
     case FleetChangeKind.Configuration:
-      view.table = newerTable(view.table, change.configuration);
+      view.table = newerRouteTable(view.table, change.configuration);
       return;
     case FleetChangeKind.Target:
       putTarget(view, change.target, change.revision);
@@ -189,88 +193,91 @@
       rememberCrash(view.crashes, change.crash);
       return;
     case FleetChangeKind.CrashForgotten:
-      forgetCrash(view.crashes, change.crash);
+      removeCrash(view.crashes, change.crash);
       return;
   }
 }
 
 /**
- * Guards against a target that starts again under its name: it shows as requests, reports and
- * caches of the earlier start that are taken for the new one's. Each start is a target of its own,
- * so all that is known by id ends with it; an entry of an earlier start that arrives late is older
- * by its birth, whatever its revision says.
+ * Adds or updates a target. Each start of a target is a separate target with its own id, so that
+ * requests, reports and caches of an earlier start are not attributed to a later one under the same
+ * name. A late entry of an earlier start is recognized by its start time, whatever its revision.
  */
 function putTarget(view: FleetView, entry: TargetEntry, revision: number): void {
-  const known = currentOf(view, entry.name);
+  const known = currentTarget(view, entry.name);
   if (known !== undefined && known.revision > revision) return;
-  if ((view.goneAtRevision.get(entry.name) ?? -1) > revision) return;
+  if ((view.removedAtRevision.get(entry.name) ?? -1) > revision) return;
   if (known !== undefined && known.entry.bornAtMs > entry.bornAtMs) return;
-  // A target that reports its leaving never takes that back; only an old entry says otherwise.
+  // Draining is never reverted within one start, so an entry that does so is stale.
   const isSameStart = known?.entry.id === entry.id;
   if (isSameStart && known.entry.draining && !entry.draining) return;
   if (known !== undefined && !isSameStart) dropTarget(view, known);
-  view.goneAtRevision.delete(entry.name);
+  view.removedAtRevision.delete(entry.name);
   view.targets.set(entry.id, { entry, revision, missingSinceMs: null });
   view.idsByName.set(entry.name, entry.id);
 }
 
-function currentOf(view: FleetView, name: string): SeenTarget | undefined {
+function currentTarget(view: FleetView, name: string): KnownTarget | undefined {
   const id = view.idsByName.get(name);
   return id === undefined ? undefined : view.targets.get(id);
 }
 
-function dropTarget(view: FleetView, { entry }: SeenTarget): void {
+function dropTarget(view: FleetView, { entry }: KnownTarget): void {
   view.targets.delete(entry.id);
   if (view.idsByName.get(entry.name) === entry.id) view.idsByName.delete(entry.name);
 }
 
 function removeTarget(view: FleetView, name: string, revision: number, nowMs: number): void {
-  const known = currentOf(view, name);
+  const known = currentTarget(view, name);
   if (known === undefined || known.revision > revision) return;
-  view.goneAtRevision.set(name, revision);
-  const oldest = view.goneAtRevision.keys().next().value;
-  if (view.goneAtRevision.size > MAX_GONE && oldest !== undefined) {
-    view.goneAtRevision.delete(oldest);
+  view.removedAtRevision.set(name, revision);
+  const oldest = view.removedAtRevision.keys().next().value;
+  if (view.removedAtRevision.size > MAX_REMOVED_NAMES && oldest !== undefined) {
+    view.removedAtRevision.delete(oldest);
   }
-  if (nowMs < view.doubtUntilMs && !known.entry.draining) known.missingSinceMs = nowMs;
+  if (nowMs < view.graceUntilMs && !known.entry.draining) known.missingSinceMs = nowMs;
   else dropTarget(view, known);
 }
 
-/** Drops targets whose doubt has passed. */
+/** Removes targets whose entry is still missing at the end of the grace period. */
 export function settleDoubts(view: FleetView, nowMs: number): void {
-  for (const seen of [...view.targets.values()]) {
-    if (seen.missingSinceMs !== null && nowMs >= view.doubtUntilMs) dropTarget(view, seen);
+  for (const known of [...view.targets.values()]) {
+    if (known.missingSinceMs !== null && nowMs >= view.graceUntilMs) dropTarget(view, known);
   }
 }
 
 /**
- * Whether a target may take work. A doubt ends by the clock, not with the next news: after an outage
- * news may take longer than the time in which new work must stop.
+ * Returns whether a target may receive new work. The grace period ends by the clock rather than
+ * with the next update, because after an outage an update may take longer than the time within
+ * which new work must stop.
  */
-function maySend(view: FleetView, seen: SeenTarget, nowMs: number): boolean {
-  const isGone = seen.missingSinceMs !== null && nowMs >= view.doubtUntilMs;
-  return !seen.entry.draining && !isGone;
+function mayReceiveWork(view: FleetView, known: KnownTarget, nowMs: number): boolean {
+  const isGone = known.missingSinceMs !== null && nowMs >= view.graceUntilMs;
+  return !known.entry.draining && !isGone;
 }
 
-/** A target that may take work, null where it leaves, is gone or was never there. */
+/** Returns a target that may receive new work, or null if it is draining, removed or unknown. */
 export function servingTarget(view: FleetView, id: string, nowMs: number): TargetEntry | null {
-  const seen = view.targets.get(id);
-  return seen !== undefined && maySend(view, seen, nowMs) ? seen.entry : null;
+  const known = view.targets.get(id);
+  return known !== undefined && mayReceiveWork(view, known, nowMs) ? known.entry : null;
 }
 
-/** Whether a target has started again since: nothing that the earlier start held is there. */
+/**
+ * Returns whether a target has restarted since this entry, which loses all state of the earlier
+ * start.
+ */
 export function hasStartedAgain(view: FleetView, { id, name }: TargetEntry): boolean {
   const newest = view.idsByName.get(name);
   return newest !== undefined && newest !== id;
 }
 
-/** The targets of a service that may take work. */
+/** Returns the targets of a service that may receive new work. */
 export function servingTargets(
   view: FleetView,
   service: string,
   nowMs: number,
 ): readonly TargetEntry[] {
   return [...view.targets.values()]
-    .filter((seen) => seen.entry.service === service && maySend(view, seen, nowMs))
-    .map((seen) => seen.entry);
+    .filter((known) => known.entry.service === service && mayReceiveWork(view, known, nowMs))
+    .map((known) => known.entry);
 }
--- a/packages/coordination/src/core/forwarding/fleet.ts
+++ b/packages/coordination/src/core/forwarding/fleet.ts
@@ -1,58 +1,58 @@
 /**
- * The fleet as a gateway knows it: services, the routes that lead to them, and the targets that
- * registered themselves. Plain data; an adapter decodes it from whatever the platform holds.
+ * Types of the fleet as a gateway knows it: services, the routes to them, and registered targets.
+ * All values are plain data that an adapter decodes from the platform's store.
  */
 
-/** What may be done with a request once it may have run. */
+/** Determines whether a request may be retried once it may have run. */
 export enum DeliveryKind {
   /** May run more than once. */
   Idempotent = 'idempotent',
-  /** Runs at most once for each attempt of a caller. */
+  /** Runs at most once for each request that a caller sends. */
   AtMostOnce = 'at-most-once',
-  /** Answered by a series of events; runs at most once unless the route is resumable. */
+  /** Answered by a stream of events; runs at most once unless the route is resumable. */
   Stream = 'stream',
 }
 
-/** One service that a route may lead to. */
+/** A service of a route and its weight. */
 export interface RouteShare {
   readonly service: string;
-  /** Relative to the other shares of the route; all are positive. */
+  /** Positive weight relative to the other shares of the route. */
   readonly weight: number;
 }
 
-/** Where requests of one host and path prefix go, and what they are promised. */
+/** The services and guarantees for requests with one host and path prefix. */
 export interface Route {
   readonly name: string;
   readonly host: string;
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: DeliveryKind;
-  /** The longest that a request is kept waiting. */
+  /** Longest time that a request may wait for its answer. */
   readonly timeoutMs: number;
-  /** An answer within this time is on time; of a stream, its first event. */
+  /** Latency goal for the answer, or for the first event of a stream. */
   readonly targetLatencyMs: number;
-  /** Longest pause between events of a stream that is on time; 0 where none is declared. */
+  /** Latency goal for the gap between two events of a stream; 0 if none is declared. */
   readonly targetGapMs: number;
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   readonly priority: number;
   readonly shares: readonly RouteShare[];
-  /** Most targets that one attempt of a caller is sent to. */
+  /** Most targets to which one request of a caller is sent. */
   readonly maxAttempts: number;
-  /** Whether requests name the parts of their prompt. */
+  /** Whether requests list the parts of their prompt. */
   readonly hasPrompts: boolean;
-  /** Whether a broken stream may go on at another target. */
+  /** Whether an interrupted stream may be continued by another target. */
   readonly resumable: boolean;
 }
 
-/** What is declared of the engines of a service. */
+/** Declared properties of the engines of a service. */
 export interface EngineSpec {
   readonly slots: number;
   readonly kvCapacityTokens: number;
-  /** Bytes of one token's memory. */
+  /** KV cache size of one token in bytes. */
   readonly kvTokenBytes: number;
-  /** Speed of the links over which engines hand memory to each other. */
+  /** Bandwidth of the links over which engines transfer KV cache. */
   readonly linkMbps: number;
-  /** How long an engine keeps a prompt that it read for another one to fetch. */
+  /** How long a prefill engine keeps the KV cache of a prompt for another engine to fetch. */
   readonly kvRetentionMs: number;
 }
 
@@ -64,52 +64,54 @@
   readonly engine: EngineSpec | null;
 }
 
-/** Bounds on what callers may send. */
+/** Limits on requests from callers. */
 export interface CallerLimits {
   readonly maxBodyBytes: number;
   readonly headerTimeoutMs: number;
   readonly idleTimeoutMs: number;
 }
 
-/** One version of what the operators want. */
+/** One version of the operators' configuration. */
 export interface FleetConfiguration {
-  /** Only grows. */
+  /** Increases with each change. */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly RoutedService[];
   readonly limits: CallerLimits;
 }
 
-/** What an engine does for prompts. */
+/** The inference phases that an engine runs. */
 export enum EnginePhase {
-  /** Reads prompts for other engines. */
+  /** Runs prefill for other engines. */
   Prefill = 'prefill',
-  /** Makes tokens, and reads prompts slowly beside that. */
+  /** Runs decode; it can also run prefill, but slowly. */
   Decode = 'decode',
-  /** Does both at full speed. */
+  /** Runs both at full speed. */
   Both = 'both',
 }
 
-/** A target as it registered itself. */
+/** The registration of a target. */
 export interface TargetEntry {
-  /** One start of the target: what is known of an earlier start says nothing of this one. */
+  /** Unique per start of the target; nothing known of an earlier start applies to this one. */
   readonly id: string;
-  /** What it registers under; kept by some targets when they start again. */
+  /** Name under which it registers. Some targets keep it across restarts. */
   readonly name: string;
-  /** Unix milliseconds of this start, 0 where the target does not tell. Orders starts of a name. */
+  /** Start time in Unix milliseconds, which orders starts with the same name; 0 if not reported. */
   readonly bornAtMs: number;
   readonly service: string;
   /** `host:port`. */
   readonly address: string;
   readonly failureDomain: string;
   readonly slots: number;
-  /** Whether it takes no new work because it is leaving. */
+  /** Whether it accepts no new work because it is shutting down. */
   readonly draining: boolean;
   /** Null for targets of plain services. */
   readonly phase: EnginePhase | null;
 }
 
-/** One part of a prompt; requests that begin with the same parts share them. */
+/**
+ * A part of a prompt. Requests whose prompts start with the same parts can share their KV cache.
+ */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
--- a/packages/coordination/src/core/forwarding/news-pace.ts
+++ b/packages/coordination/src/core/forwarding/news-pace.ts
@@ -1,73 +1,79 @@
 /**
- * How often a gateway asks the platform's store for news of the fleet. The load patterns: hundreds of
- * gateways that each ask, while targets write about once a second, so that an answer never has to be
- * waited for; gateways that have just started together and look for each other; and a store that is
- * away while all of them go on asking.
+ * Decides how often a gateway polls the platform's store for updates of the fleet. Hundreds of
+ * gateways poll while targets write about once a second, so every poll returns at once and the
+ * pause alone bounds the load. Gateways that started together poll faster to find each other, and
+ * all of them back off while the store is unavailable.
  */
 import type { Random } from '../random/random.js';
 import { waitAfterFailuresMs } from '../retries/retries.js';
 
-/** Bounds of the pace. */
+/** Options of the poll interval. */
 export interface NewsPaceOptions {
-  /** A change in the store must be in force here within so long. */
-  readonly inForceWithinMs: number;
-  /** Pause between two questions while gateways that started together find each other. */
+  /** Longest time within which a change in the store must be applied here. */
+  readonly applyWithinMs: number;
+  /** Pause between two polls while gateways that started together find each other. */
   readonly startPauseMs: number;
-  /** How long that takes: some renewals of an announcement. */
+  /** How long gateways take to find each other; covers several renewals of an announcement. */
   readonly startMs: number;
-  /** First pause after a question that failed. */
+  /** First pause after a failed poll. */
   readonly failurePauseMs: number;
 }
 
-/** Defaults for a platform that wants changes in force within this time. */
-export function newsPaceOptions(inForceWithinMs: number): NewsPaceOptions {
-  return { inForceWithinMs, startPauseMs: 600, startMs: 5000, failurePauseMs: 200 };
+/** Returns the default options for a platform on which changes must be applied within this time. */
+export function newsPaceOptions(applyWithinMs: number): NewsPaceOptions {
+  return { applyWithinMs, startPauseMs: 600, startMs: 5000, failurePauseMs: 200 };
 }
 
-/** The longest pause, as a part of the time in which a change must be in force. */
+/** Longest pause, as a fraction of the time within which a change must be applied. */
 const MAX_PAUSE_SHARE = 0.5;
-/** The shortest pause: changes gather, and a question costs a gateway a few milliseconds. */
+/**
+ * Shortest pause. Changes accumulate meanwhile, and each poll costs a gateway a few milliseconds.
+ */
 const MIN_PAUSE_MS = 300;
-/** What the pause leaves of that time: for a slow answer, a question that fails, and a busy core. */
+/** Part of that time reserved for a slow answer, a failed poll and a busy core. */
 const RESERVE_MS = 1400;
-/** The longest pause after failures, as a part of that time: news come at once when the store is back. */
+/**
+ * Longest pause after failures, as a fraction of that time, so that polling resumes soon after an
+ * outage.
+ */
 const FAILURE_PAUSE_SHARE = 0.25;
 
-/** Where a gateway stands. */
-export interface NewsPace {
+/** Poll state of one gateway. */
+export interface PollInterval {
   readonly options: NewsPaceOptions;
-  /** Since when news come without a gap, null while they don't. */
-  newsSinceMs: number | null;
+  /** Time of the first successful poll since the last failure; null after a failure. */
+  succeedingSinceMs: number | null;
   failuresInARow: number;
 }
 
-/** The pace of a gateway that has not asked yet. */
-export function createNewsPace(options: NewsPaceOptions): NewsPace {
-  return { options, newsSinceMs: null, failuresInARow: 0 };
+/** Creates the state of a gateway that has not polled yet. */
+export function createNewsPace(options: NewsPaceOptions): PollInterval {
+  return { options, succeedingSinceMs: null, failuresInARow: 0 };
 }
 
 /**
- * Pause after an answer, in which changes gather. Guards against a cost that grows with gateways
- * alone: each question is answered at once, since some target has always written meanwhile.
+ * Returns the pause after an answer, in which changes accumulate. Without it, gateways would poll
+ * continuously, because some target has always written since the last poll and each poll is
+ * answered at once.
  */
-export function pauseAfterNewsMs(pace: NewsPace, nowMs: number): number {
-  const { inForceWithinMs, startPauseMs, startMs } = pace.options;
-  pace.failuresInARow = 0;
-  pace.newsSinceMs ??= nowMs;
-  const pauseMs = settledPauseMs(inForceWithinMs);
-  return nowMs - pace.newsSinceMs < startMs ? Math.min(startPauseMs, pauseMs) : pauseMs;
+export function pauseAfterNewsMs(poll: PollInterval, nowMs: number): number {
+  const { applyWithinMs, startPauseMs, startMs } = poll.options;
+  poll.failuresInARow = 0;
+  poll.succeedingSinceMs ??= nowMs;
+  const pauseMs = settledPauseMs(applyWithinMs);
+  return nowMs - poll.succeedingSinceMs < startMs ? Math.min(startPauseMs, pauseMs) : pauseMs;
 }
 
-function settledPauseMs(inForceWithinMs: number): number {
-  const mostMs = inForceWithinMs * MAX_PAUSE_SHARE;
-  return Math.max(MIN_PAUSE_MS, Math.min(mostMs, inForceWithinMs - RESERVE_MS));
+function settledPauseMs(applyWithinMs: number): number {
+  const maxPauseMs = applyWithinMs * MAX_PAUSE_SHARE;
+  return Math.max(MIN_PAUSE_MS, Math.min(maxPauseMs, applyWithinMs - RESERVE_MS));
 }
 
-/** Pause after a question that failed; longer with each one, and never in step with others. */
-export function pauseAfterFailureMs(pace: NewsPace, random: Random): number {
-  const { inForceWithinMs, failurePauseMs: firstMs } = pace.options;
-  pace.failuresInARow += 1;
-  pace.newsSinceMs = null;
-  const mostMs = Math.max(firstMs, inForceWithinMs * FAILURE_PAUSE_SHARE);
-  return waitAfterFailuresMs(pace.failuresInARow, { firstMs, mostMs }, random);
+/** Returns the pause after a failed poll: a backoff with jitter that grows with each failure. */
+export function pauseAfterFailureMs(poll: PollInterval, random: Random): number {
+  const { applyWithinMs, failurePauseMs: firstMs } = poll.options;
+  poll.failuresInARow += 1;
+  poll.succeedingSinceMs = null;
+  const mostMs = Math.max(firstMs, applyWithinMs * FAILURE_PAUSE_SHARE);
+  return waitAfterFailuresMs(poll.failuresInARow, { firstMs, mostMs }, random);
 }
--- a/packages/coordination/src/core/forwarding/retry-window.ts
+++ b/packages/coordination/src/core/forwarding/retry-window.ts
@@ -1,24 +1,24 @@
 /**
- * The retries that one gateway may add to a service. All gateways together must stay under
- * `ratio` x requests + `slack` in any window; each keeps to that ratio of its own requests and to
- * its part of the slack, so that nobody has to be asked.
+ * Limits the retries that one gateway sends to a service. All gateways together must stay below
+ * `ratio` x requests + `slack` in any window. Each gateway applies the ratio to its own requests
+ * and uses only its share of the slack, which needs no communication between gateways.
  */
 
-/** Bounds that hold over all gateways. */
+/** Limits that apply to all gateways together. */
 export interface RetryWindowOptions {
   readonly windowMs: number;
-  /** Retries for each request. */
+  /** Allowed retries per request. */
   readonly ratio: number;
-  /** Retries beyond the ratio, over all gateways. */
+  /** Allowed retries beyond the ratio, for all gateways together. */
   readonly slack: number;
 }
 
 /**
- * Part of the whole slack that all gateways use together. The rest covers gateways that restarted
- * within a window and forgot what they had spent, and callers whose requests never arrived.
+ * Fraction of the slack that all gateways use together. The rest covers gateways that restarted
+ * within a window and lost their counts, and callers whose requests never arrived.
  */
 const SLACK_SHARE = 0.5;
-/** Part of the ratio that is used, for the same reasons. */
+/** Fraction of the ratio that is used, for the same reasons. */
 const RATIO_SHARE = 0.8;
 
 /** Times of requests and retries of one service, oldest first. */
@@ -28,21 +28,21 @@
   readonly retriesAtMs: number[];
 }
 
-/** An empty window. */
+/** Creates an empty window. */
 export function createRetryWindow(options: RetryWindowOptions): RetryWindow {
   return { options, requestsAtMs: [], retriesAtMs: [] };
 }
 
-/** Counts a request that callers sent. */
+/** Counts a request from a caller. */
 export function noteWindowRequest(window: RetryWindow, nowMs: number): void {
   window.requestsAtMs.push(nowMs);
-  forgetBefore(window, nowMs);
+  removeExpired(window, nowMs);
 }
 
 /**
- * Takes so many retries; false when they must not happen. Guards against a retry storm: it shows as
- * arrivals that multiply when a service fails, and the bound holds in every window because both
- * sums are of the same window.
+ * Reserves a number of retries and returns whether they are allowed. This prevents a retry storm,
+ * in which the load on a failing service multiplies. The limit holds in every window because
+ * requests and retries are counted over the same window.
  */
 export function takeWindowRetries(
   window: RetryWindow,
@@ -50,17 +50,17 @@
   gateways: number,
   nowMs: number,
 ): boolean {
-  forgetBefore(window, nowMs);
+  removeExpired(window, nowMs);
   const { ratio, slack } = window.options;
   const allowed =
     window.requestsAtMs.length * ratio * RATIO_SHARE +
     (slack * SLACK_SHARE) / Math.max(1, gateways);
   if (window.retriesAtMs.length + retries > allowed) return false;
-  for (let taken = 0; taken < retries; taken += 1) window.retriesAtMs.push(nowMs);
+  for (let reserved = 0; reserved < retries; reserved += 1) window.retriesAtMs.push(nowMs);
   return true;
 }
 
-function forgetBefore(window: RetryWindow, nowMs: number): void {
+function removeExpired(window: RetryWindow, nowMs: number): void {
   const fromMs = nowMs - window.options.windowMs;
   dropBefore(window.requestsAtMs, fromMs);
   dropBefore(window.retriesAtMs, fromMs);
--- a/packages/coordination/src/core/forwarding/route-table.ts
+++ b/packages/coordination/src/core/forwarding/route-table.ts
@@ -1,18 +1,18 @@
 /**
- * Which route a request takes: among those of its host, the one with the longest path prefix. The
- * table is made once per configuration; a lookup costs one step for each slash of the path.
+ * Matches requests to routes: among the routes of the host, the longest path prefix wins. The table
+ * is built once per configuration, and a lookup takes one step per slash in the path.
  */
 import type { FleetConfiguration, Route, RoutedService } from './fleet.js';
 
-/** A configuration, prepared for lookups. */
+/** A configuration indexed for lookups. */
 export interface RouteTable {
   readonly configuration: FleetConfiguration;
-  /** By host, then by path prefix. */
+  /** Routes by host, then by path prefix. */
   readonly routesByHost: ReadonlyMap<string, ReadonlyMap<string, Route>>;
   readonly servicesByName: ReadonlyMap<string, RoutedService>;
 }
 
-/** Prepares a configuration. */
+/** Builds the route table of a configuration. */
 export function createRouteTable(configuration: FleetConfiguration): RouteTable {
   const routesByHost = new Map<string, Map<string, Route>>();
   for (const route of configuration.routes) {
@@ -25,7 +25,9 @@
   return { configuration, routesByHost, servicesByName };
 }
 
-/** The route of a request, or null where none matches. `host` may carry a port, `path` a query. */
+/**
+ * Returns the route of a request, or null if none matches. `host` may have a port, `path` a query.
+ */
 export function findRoute(table: RouteTable, host: string, path: string): Route | null {
   const routes = table.routesByHost.get(hostName(host));
   if (routes === undefined) return null;
@@ -42,10 +44,10 @@
   return (host.split(':', 1)[0] ?? '').toLowerCase();
 }
 
-/** Largest value of a 32-bit hash, plus one. */
+/** Number of values of a 32-bit hash. */
 const HASH_RANGE = 2 ** 32;
 
-/** The service of a request on a route with several shares; `hash` spreads requests evenly. */
+/** Chooses a service of the route by weight. `hash` must be evenly distributed over requests. */
 export function chooseService(route: Route, hash: number): string {
   const total = route.shares.reduce((sum, share) => sum + share.weight, 0);
   let rest = ((hash >>> 0) / HASH_RANGE) * total;
@@ -57,11 +59,11 @@
 }
 
 /**
- * The newer of two configurations. Guards against one that goes back: it shows as requests that
- * take a dropped route again, after a late answer of the store. Versions only grow, so the larger
- * one holds whatever the order in which they come.
+ * Returns the route table of the newer configuration. A late answer of the store may carry an older
+ * version, which would restore routes that were removed. Versions only increase, so the higher one
+ * wins regardless of the order of arrival.
  */
-export function newerTable(current: RouteTable | null, next: FleetConfiguration): RouteTable {
+export function newerRouteTable(current: RouteTable | null, next: FleetConfiguration): RouteTable {
   if (current !== null && next.version <= current.configuration.version) return current;
   return createRouteTable(next);
 }
--- a/packages/coordination/test/core/forwarding/crash-memory.test.ts
+++ b/packages/coordination/test/core/forwarding/crash-memory.test.ts
@@ -1,25 +1,25 @@
-/** Requests that crash the targets which run them. */
+/** Detects requests that crash the targets that run them. */
 import assert from 'node:assert/strict';
 import { beforeEach, describe, it } from 'node:test';
 import {
   type CrashMemory,
   clearContent,
   createCrashMemory,
-  forgetCrash,
+  removeCrash,
   isConvictedContent,
   rememberCrash,
 } from '../../../src/index.js';
 
-describe('the memory of crashes', () => {
+describe('crash memory', () => {
   let memory: CrashMemory;
 
   beforeEach(() => {
     memory = createCrashMemory();
   });
 
-  // One malformed history takes down engine after engine, and the inspectors' findings with them:
-  // its caller sends it again and again, and no gateway alone sees more than one of the crashes.
-  it('convicts a content that broke off three targets', () => {
+  // A malformed history crashes one engine after another, along with all other requests that run
+  // there: its caller keeps retrying it, and no single gateway sees more than one of the crashes.
+  it('convicts a content that crashed three targets', () => {
     rememberCrash(memory, { content: 'history', target: 't1' });
     rememberCrash(memory, { content: 'history', target: 't2' });
     assert.equal(isConvictedContent(memory, 'history'), false);
@@ -27,34 +27,34 @@
     assert.equal(isConvictedContent(memory, 'history'), true);
   });
 
-  it('counts a crash once, whoever tells of it', () => {
-    for (let told = 0; told < 5; told += 1) {
+  it('counts a crash once, however often it is reported', () => {
+    for (let report = 0; report < 5; report += 1) {
       rememberCrash(memory, { content: 'history', target: 't1' });
     }
     assert.equal(isConvictedContent(memory, 'history'), false);
   });
 
-  it('forgets what is long ago', () => {
+  it('does not count a removed crash', () => {
     for (const target of ['t1', 't2', 't3']) rememberCrash(memory, { content: 'h', target });
-    forgetCrash(memory, { content: 'h', target: 't1' });
+    removeCrash(memory, { content: 'h', target: 't1' });
     assert.equal(isConvictedContent(memory, 'h'), false);
   });
 
-  // Many callers fetch the same report while targets crash by themselves. The report is refused for
-  // a minute although a target delivers it whole to everybody else.
-  it('does not convict what a target ran whole', () => {
+  // Many callers fetch the same report while targets crash for other reasons. Without this rule, the
+  // report is rejected for a minute although a target delivers it completely to other callers.
+  it('does not convict a content that a target ran to completion', () => {
     for (const target of ['t1', 't2', 't3']) rememberCrash(memory, { content: 'r', target });
     clearContent(memory, 'r');
     assert.equal(isConvictedContent(memory, 'r'), false);
   });
 
-  it('gives what was noted against a content that ran whole, to be taken back for all', () => {
+  it('returns the crashes of a content that ran to completion, to be deleted for all gateways', () => {
     rememberCrash(memory, { content: 'r', target: 't1' });
     assert.deepEqual(clearContent(memory, 'r'), [{ content: 'r', target: 't1' }]);
     assert.deepEqual(clearContent(memory, 'r'), []);
   });
 
-  it('does not convict what a target ran whole before', () => {
+  it('does not convict a content that a target ran to completion earlier', () => {
     clearContent(memory, 'r');
     for (const target of ['t1', 't2', 't3']) rememberCrash(memory, { content: 'r', target });
     assert.equal(isConvictedContent(memory, 'r'), false);
--- a/packages/coordination/test/core/forwarding/event-framing.test.ts
+++ b/packages/coordination/test/core/forwarding/event-framing.test.ts
@@ -1,11 +1,11 @@
-/** Cutting a stream into whole events. */
+/** Splits a stream into complete events. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import * as fc from 'fast-check';
 import { createEventFraming, hasPartialEvent, takeEventBytes } from '../../../src/index.js';
 
-describe('the framing of events', () => {
-  it('passes on whole events, however the bytes are cut', () => {
+describe('event framing', () => {
+  it('forwards complete events, however the bytes are split', () => {
     const events = [
       'id: 1\ndata: a\n\n',
       'id: 2\r\ndata: b\r\n\r\n',
@@ -28,9 +28,9 @@
     );
   });
 
-  // A caller's stream ends with half an event. The engine crashed while it wrote; what it had begun
-  // was passed on, and another engine then sent the same event whole.
-  it('holds back the event that an engine did not finish', () => {
+  // An engine crashes while it writes an event. If the partial event were forwarded, the caller would
+  // receive it before the complete event that another engine sends.
+  it('withholds an event that an engine did not complete', () => {
     const framing = createEventFraming();
     const whole = takeEventBytes(framing, Buffer.from('id: 1\ndata: a\n\nid: 2\ndata: b'));
     assert.equal(whole.toString(), 'id: 1\ndata: a\n\n');
--- a/packages/coordination/test/core/forwarding/fleet-view.test.ts
+++ b/packages/coordination/test/core/forwarding/fleet-view.test.ts
@@ -1,4 +1,4 @@
-/** The fleet through missed, repeated and old changes, and through outages of the store. */
+/** The view of the fleet under missed, duplicated and stale changes, and during store outages. */
 import assert from 'node:assert/strict';
 import { beforeEach, describe, it } from 'node:test';
 import {
@@ -6,8 +6,8 @@
   FleetChangeKind,
   type FleetChange,
   type FleetView,
-  LAPSE_DOUBT_MS,
-  OUTAGE_SILENCE_MS,
+  EXPIRY_GRACE_MS,
+  OUTAGE_INACTIVITY_MS,
   applyChanges,
   applyListing,
   createFleetView,
@@ -39,7 +39,7 @@
   return { kind: FleetChangeKind.TargetRemoved, revision, name };
 }
 
-describe('the fleet as a gateway sees it', () => {
+describe('fleet view', () => {
   let view: FleetView;
   const serving = (nowMs = 0): readonly string[] =>
     servingTargets(view, SERVICE, nowMs).map(({ id }) => id);
@@ -50,107 +50,109 @@
     applyListing(view, [target('a', 1), target('b', 2)], 5, 0);
   });
 
-  describe('in calm', () => {
-    it('drops a target at once when its entry is removed', () => {
+  describe('without an outage', () => {
+    it('removes a target at once when its entry is removed', () => {
       applyChanges(view, [removed('a', 6)], 6, 100);
       assert.deepEqual(serving(), ['b']);
     });
 
-    it('gives no new work to one that drains', () => {
+    it('sends no new work to a draining target', () => {
       applyChanges(view, [target('a', 6, true)], 6, 100);
       assert.deepEqual(serving(), ['b']);
     });
 
-    it('drops what a new listing lacks', () => {
+    it('removes a target that a new listing does not contain', () => {
       applyListing(view, [target('b', 2)], 9, 100);
       assert.deepEqual(serving(), ['b']);
     });
   });
 
-  // A leaving target gets new work: its entry was removed, and a repeated or late change from before
-  // puts it back.
-  describe('an old change', () => {
-    it('does not bring a removed target back', () => {
+  // A target that has left receives new work if a duplicated or late change from before its removal
+  // restores its entry.
+  describe('a stale change', () => {
+    it('does not restore a removed target', () => {
       applyChanges(view, [removed('a', 6), target('a', 4)], 6, 100);
       assert.deepEqual(serving(), ['b']);
     });
 
-    it('does not undo a leaving', () => {
+    it('does not revert draining', () => {
       applyChanges(view, [target('a', 6, true), target('a', 1)], 6, 100);
       assert.deepEqual(serving(), ['b']);
     });
 
-    it('does not remove a target that was written again since', () => {
+    it('does not remove a target that was written again later', () => {
       applyChanges(view, [target('a', 8), removed('a', 6)], 8, 100);
       assert.deepEqual(serving(), ['b', 'a'].sort());
     });
   });
 
-  // All requests are refused for two seconds after the store returns. Entries lapsed while it was
-  // away, and a gateway that takes each missing entry for a target that left has none.
-  describe('after an outage of the store', () => {
-    const backAtMs = OUTAGE_SILENCE_MS + 1000;
+  // Entries expire during a store outage. A gateway that removes every target with a missing entry
+  // has no targets left and rejects all requests for two seconds after the store returns.
+  describe('after a store outage', () => {
+    const backAtMs = OUTAGE_INACTIVITY_MS + 1000;
 
     beforeEach(() => {
       noteStoreAnswer(view, backAtMs);
       applyChanges(view, [removed('a', 6)], 6, backAtMs);
     });
 
-    it('keeps a target whose entry is missing for a moment', () => {
-      settleDoubts(view, backAtMs + LAPSE_DOUBT_MS - 1);
+    it('keeps a target whose entry is missing during the grace period', () => {
+      settleDoubts(view, backAtMs + EXPIRY_GRACE_MS - 1);
       assert.deepEqual(serving(), ['a', 'b']);
     });
 
-    it('keeps it for good when its entry comes back', () => {
+    it('keeps a target whose entry reappears', () => {
       applyChanges(view, [target('a', 7)], 7, backAtMs + 500);
-      settleDoubts(view, backAtMs + LAPSE_DOUBT_MS);
+      settleDoubts(view, backAtMs + EXPIRY_GRACE_MS);
       assert.deepEqual(serving(), ['a', 'b']);
     });
 
-    it('takes it as gone when its entry stays missing', () => {
-      settleDoubts(view, backAtMs + LAPSE_DOUBT_MS);
+    it('removes a target whose entry is still missing after the grace period', () => {
+      settleDoubts(view, backAtMs + EXPIRY_GRACE_MS);
       assert.deepEqual(serving(), ['b']);
     });
 
-    // A leaving target gets new work for three seconds. Its entry went while the store was away for
-    // this gateway, and the doubt about it ended only with the next news, which took a watch's wait.
-    it('gives it no work once the doubt has passed, whether news come or not', () => {
-      assert.deepEqual(serving(backAtMs + LAPSE_DOUBT_MS - 1), ['a', 'b']);
-      assert.deepEqual(serving(backAtMs + LAPSE_DOUBT_MS), ['b']);
+    // The entry of a leaving target was removed while this gateway could not reach the store. When the
+    // grace period ended only with the next update, which took as long as a watch waits, the target
+    // received new work for three seconds.
+    it('sends no work to it after the grace period, even without an update', () => {
+      assert.deepEqual(serving(backAtMs + EXPIRY_GRACE_MS - 1), ['a', 'b']);
+      assert.deepEqual(serving(backAtMs + EXPIRY_GRACE_MS), ['b']);
     });
 
-    it('drops one at once that had reported its leaving', () => {
+    it('removes a draining target at once', () => {
       applyChanges(view, [target('b', 7, true), removed('b', 8)], 8, backAtMs + 100);
       assert.equal(view.targets.has('b'), false);
     });
   });
 
-  // An engine crashes and is back under its name a second later. Requests that were meant for the
-  // earlier start go to the new one, which holds nothing of theirs, and its crashes count for it.
-  describe('a target that starts again under its name', () => {
-    it('takes the place of its earlier start, which is no target any more', () => {
+  // An engine crashes and is back under the same name a second later. Without an id per start,
+  // requests for the earlier start go to the new one, which has none of their state, and crashes of
+  // the earlier start count against the new one.
+  describe('a target that restarts under its name', () => {
+    it('replaces its earlier start', () => {
       applyChanges(view, [target('a', 6, false, 2000)], 6, 100);
       assert.deepEqual(serving().toSorted(), ['a@2000', 'b']);
       assert.equal(servingTarget(view, 'a', 100), null);
     });
 
-    it('serves although its earlier start was leaving', () => {
+    it('serves although its earlier start was draining', () => {
       applyChanges(view, [target('a', 6, true), target('a', 7, false, 2000)], 7, 100);
       assert.deepEqual(serving().toSorted(), ['a@2000', 'b']);
     });
 
-    it('is not disturbed by an entry of its earlier start that arrives late', () => {
+    it('is not affected by a late entry of its earlier start', () => {
       const late = [target('a', 6, false, 2000), target('a', 7, true, 1000)];
       applyChanges(view, late, 7, 100);
       assert.deepEqual(serving().toSorted(), ['a@2000', 'b']);
     });
 
-    it('is gone when its entry is removed', () => {
+    it('is removed when its entry is removed', () => {
       applyChanges(view, [target('a', 6, false, 2000), removed('a', 7)], 7, 100);
       assert.deepEqual(serving(), ['b']);
     });
 
-    it('tells what the earlier start held from what the new one holds', () => {
+    it('is reported as restarted for an entry of its earlier start', () => {
       const before = servingTarget(view, 'a', 0);
       assert.ok(before !== null && !hasStartedAgain(view, before));
       applyChanges(view, [target('a', 6, false, 2000)], 6, 100);
--- a/packages/coordination/test/core/forwarding/news-pace.test.ts
+++ b/packages/coordination/test/core/forwarding/news-pace.test.ts
@@ -1,4 +1,4 @@
-/** How often gateways ask the store: many of them, for hours, and while it is away. */
+/** How often gateways poll the store, both while it answers and during an outage. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import {
@@ -8,79 +8,79 @@
   pauseAfterNewsMs,
 } from '../../../src/core/forwarding/news-pace.js';
 
-const IN_FORCE_WITHIN_MS = 4000;
-/** An answer of a slow store: fifty times the ordinary one. */
+const APPLY_WITHIN_MS = 4000;
+/** Duration of a call to a slow store: fifty times the usual duration. */
 const SLOW_CALL_MS = 200;
-/** An answer of the store. */
+/** Usual duration of a call to the store. */
 const CALL_MS = 4;
 
-/** Questions in a time in which each is answered at once, since targets write all the while. */
-function questionsIn(forMs: number, inForceWithinMs: number): number {
-  const pace = createNewsPace(newsPaceOptions(inForceWithinMs));
+/** Counts the polls in a period in which each is answered at once, because targets keep writing. */
+function pollsIn(forMs: number, applyWithinMs: number): number {
+  const poll = createNewsPace(newsPaceOptions(applyWithinMs));
   let nowMs = 0;
-  let questions = 0;
+  let polls = 0;
   while (nowMs < forMs) {
-    questions += 1;
-    nowMs += CALL_MS + pauseAfterNewsMs(pace, nowMs);
+    polls += 1;
+    nowMs += CALL_MS + pauseAfterNewsMs(poll, nowMs);
   }
-  return questions;
+  return polls;
 }
 
-/** Questions in an outage in which each is refused at once. */
-function questionsInOutage(forMs: number, random: () => number): number {
-  const pace = createNewsPace(newsPaceOptions(IN_FORCE_WITHIN_MS));
+/** Counts the polls in an outage in which each fails at once. */
+function pollsInOutage(forMs: number, random: () => number): number {
+  const poll = createNewsPace(newsPaceOptions(APPLY_WITHIN_MS));
   let nowMs = 0;
-  let questions = 0;
+  let polls = 0;
   while (nowMs < forMs) {
-    questions += 1;
-    nowMs += CALL_MS + pauseAfterFailureMs(pace, random);
+    polls += 1;
+    nowMs += CALL_MS + pauseAfterFailureMs(poll, random);
   }
-  return questions;
+  return polls;
 }
 
-describe('the pace of news', () => {
+describe('the poll interval', () => {
   describe('while the store answers', () => {
-    // 68 gateways each asked 1.6 times a second whatever was asked of them: the largest price of a
-    // large fleet, though a change had four seconds to be in force.
-    it('follows the time in which a change must be in force', () => {
-      assert.ok(questionsIn(60_000, 4000) < 0.4 * questionsIn(60_000, 2000));
+    // Prevents 68 gateways from each polling 1.6 times a second regardless of the configured time, which
+    // was the largest cost of a large fleet although a change had four seconds to be applied.
+    it('follows the time within which a change must be applied', () => {
+      assert.ok(pollsIn(60_000, 4000) < 0.4 * pollsIn(60_000, 2000));
     });
 
-    it('leaves time for a slow answer and a question that fails', () => {
-      const pace = createNewsPace(newsPaceOptions(IN_FORCE_WITHIN_MS));
-      pauseAfterNewsMs(pace, 0);
-      const pauseMs = pauseAfterNewsMs(pace, 60_000);
-      const failedMs = pauseAfterFailureMs(pace, () => 1);
-      assert.ok(pauseMs + failedMs + SLOW_CALL_MS <= IN_FORCE_WITHIN_MS);
+    it('leaves time for a slow answer and a failed poll', () => {
+      const poll = createNewsPace(newsPaceOptions(APPLY_WITHIN_MS));
+      pauseAfterNewsMs(poll, 0);
+      const pauseMs = pauseAfterNewsMs(poll, 60_000);
+      const failedMs = pauseAfterFailureMs(poll, () => 1);
+      assert.ok(pauseMs + failedMs + SLOW_CALL_MS <= APPLY_WITHIN_MS);
     });
 
-    it('asks more often while gateways that started together find each other', () => {
-      const pace = createNewsPace(newsPaceOptions(IN_FORCE_WITHIN_MS));
-      const first = pauseAfterNewsMs(pace, 1000);
-      assert.ok(first < pauseAfterNewsMs(pace, 61_000));
+    it('polls more often while gateways that started together find each other', () => {
+      const poll = createNewsPace(newsPaceOptions(APPLY_WITHIN_MS));
+      const first = pauseAfterNewsMs(poll, 1000);
+      assert.ok(first < pauseAfterNewsMs(poll, 61_000));
     });
   });
 
-  describe('while the store is away', () => {
-    // The store was away for 8 s, and 68 gateways asked it five times a second: 2,700 calls that
-    // could bring nothing.
-    it('asks a third as often as five times a second', () => {
-      assert.ok(questionsInOutage(8000, () => 0.5) <= (8 * 5) / 3);
+  describe('while the store is unavailable', () => {
+    // Without a backoff, 68 gateways polled an unavailable store five times a second for 8 s, which
+    // made 2,700 useless calls.
+    it('polls at most a third as often as five times a second', () => {
+      assert.ok(pollsInOutage(8000, () => 0.5) <= (8 * 5) / 3);
     });
 
-    it('does not ask in step with other gateways', () => {
-      const early = createNewsPace(newsPaceOptions(IN_FORCE_WITHIN_MS));
-      const late = createNewsPace(newsPaceOptions(IN_FORCE_WITHIN_MS));
+    it('does not poll in step with other gateways', () => {
+      const early = createNewsPace(newsPaceOptions(APPLY_WITHIN_MS));
+      const late = createNewsPace(newsPaceOptions(APPLY_WITHIN_MS));
       assert.notEqual(
         pauseAfterFailureMs(early, () => 0),
         pauseAfterFailureMs(late, () => 1),
       );
     });
 
-    it('asks again within a fourth of the time that a change has', () => {
-      const pace = createNewsPace(newsPaceOptions(IN_FORCE_WITHIN_MS));
-      const pauses = Array.from({ length: 20 }, () => pauseAfterFailureMs(pace, () => 1));
-      assert.ok(Math.max(...pauses) <= IN_FORCE_WITHIN_MS / 4);
+    it('polls again within a quarter of the time within which a change must be applied', () => {
+      const poll = createNewsPace(newsPaceOptions(APPLY_WITHIN_MS));
+      const pauses = Array.from({ length: 20 }, () => pauseAfterFailureMs(poll, () => 1));
+      assert.ok(Math.max(...pauses) <= APPLY_WITHIN_MS / 4);
     });
   });
 });
--- a/packages/coordination/test/core/forwarding/retry-window.test.ts
+++ b/packages/coordination/test/core/forwarding/retry-window.test.ts
@@ -1,4 +1,4 @@
-/** The retries of all gateways together stay under the budget in every window. */
+/** Keeps the retries of all gateways together below the budget in every window. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import * as fc from 'fast-check';
@@ -15,16 +15,16 @@
     assert.equal(taken.length, OPTIONS.slack / 2);
   });
 
-  it('has room again when the window has passed', () => {
+  it('allows retries again after the window has passed', () => {
     const window = createRetryWindow({ ...OPTIONS, slack: 2 });
     assert.equal(takeWindowRetries(window, 1, 1, 0), true);
     assert.equal(takeWindowRetries(window, 1, 1, 9_999), false);
     assert.equal(takeWindowRetries(window, 1, 1, 10_001), true);
   });
 
-  // A service fails for ten seconds, each gateway retries all it may, and the service gets more
-  // retries in a window than all requests of that window allow.
-  it('keeps all gateways together under the budget in every window', () => {
+  // A service fails for ten seconds and each gateway sends as many retries as it may. If the gateways
+  // did not share the budget, the service would receive more retries in a window than allowed.
+  it('keeps all gateways together below the budget in every window', () => {
     const step = fc.record({ gateway: fc.nat(4), afterMs: fc.nat(200), retry: fc.boolean() });
     fc.assert(
       fc.property(fc.array(step, { minLength: 50, maxLength: 400 }), (steps) => {
--- a/packages/coordination/test/core/forwarding/route-table.test.ts
+++ b/packages/coordination/test/core/forwarding/route-table.test.ts
@@ -1,4 +1,4 @@
-/** Which route a request takes, and that a configuration never goes back. */
+/** Matches requests to routes and ignores older configurations. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import * as fc from 'fast-check';
@@ -9,7 +9,7 @@
   chooseService,
   createRouteTable,
   findRoute,
-  newerTable,
+  newerRouteTable,
 } from '../../../src/index.js';
 
 function route(host: string, pathPrefix: string, change: Partial<Route> = {}): Route {
@@ -48,23 +48,23 @@
     const found = (host: string, path: string): string | undefined =>
       findRoute(table, host, path)?.pathPrefix;
 
-    it('takes the longest prefix of the host', () => {
+    it('returns the route with the longest prefix on the host', () => {
       assert.equal(found('a.example', '/x/y/z'), '/x/y/');
       assert.equal(found('a.example', '/x/yy'), '/x/');
       assert.equal(found('a.example', '/xx'), '/');
       assert.equal(found('b.example', '/x/y/'), '/x/');
     });
 
-    it('finds nothing on another host or beside the prefixes', () => {
+    it('returns nothing for another host or a path without a matching prefix', () => {
       assert.equal(found('c.example', '/x/'), undefined);
       assert.equal(found('b.example', '/x'), undefined);
     });
 
-    it('passes over the port, the case of the host and the query', () => {
+    it('ignores the port, the case of the host and the query', () => {
       assert.equal(found('A.Example:8080', '/x/?q=/x/y/'), '/x/');
     });
 
-    it('agrees with a search through all routes', () => {
+    it('agrees with a linear search of all routes', () => {
       const segment = fc.constantFrom('a', 'b', 'ab');
       const prefix = fc
         .array(segment, { maxLength: 3 })
@@ -94,18 +94,18 @@
       const range = 2 ** 32;
       const hashes = Array.from({ length: 1000 }, (_, index) => Math.floor((index * range) / 1000));
       const old = hashes.filter((hash) => chooseService(split, hash) === 'old').length;
-      // 900 of 1000, but for the one hash at the bound itself.
+      // 900 of 1000, except for the one hash at the boundary.
       assert.ok(Math.abs(old - 900) <= 1);
     });
   });
 
-  // Callers get 404 on a route that they have just used. The store's answer with version 5 was late
-  // and came after version 7: a process that took whatever came last went back to 5.
-  describe('an older version that comes late', () => {
-    it('changes nothing', () => {
-      const seven = newerTable(null, configuration(7, [route('a.example', '/new/')]));
-      const after = newerTable(seven, configuration(5, []));
-      assert.equal(after, seven);
+  // An answer of the store with version 5 arrives after version 7. A process that applies the last
+  // arrival returns to version 5, and callers get 404 on a route that they have just used.
+  describe('an older version that arrives late', () => {
+    it('is ignored', () => {
+      const current = newerRouteTable(null, configuration(7, [route('a.example', '/new/')]));
+      const after = newerRouteTable(current, configuration(5, []));
+      assert.equal(after, current);
     });
   });
 });
