--- a/packages/coordination/src/core/model/configuration.ts
+++ b/packages/coordination/src/core/model/configuration.ts
@@ -1,129 +1,135 @@
 /**
- * The configuration as every process acts on it: what the operators' text compiles to. Plain JSON
- * data, so that it is stored, gossiped and compared as it is. Fields carry their unit as suffix.
+ * Types of the compiled configuration, which every process applies. All values are plain JSON data,
+ * so the same form is stored, gossiped and compared. Field names end with their unit.
  */
 
-/** What stands behind a target. */
+/** The kind of server behind a target. */
 export enum TargetKind {
   ModelEngine = 'model-engine',
   PlainService = 'plain-service',
 }
 
-/** What a model engine is set up to do. */
+/** The inference phases that a model engine is configured to run. */
 export enum EngineRole {
-  /** Reads prompts and hands their KV cache on. */
+  /** Runs prefill and transfers the KV cache to decode engines. */
   Prefill = 'prefill',
-  /** Writes answers from KV cache that was computed elsewhere. */
+  /** Runs decode with KV cache that was computed by other engines. */
   Decode = 'decode',
-  /** Does both in one batch. */
+  /** Runs prefill and decode in one batch. */
   Mixed = 'mixed',
 }
 
-/** One host and port. */
+/** A host and port. */
 export interface Address {
   readonly host: string;
   readonly port: number;
 }
 
-/** One server of a service together with the sidecar in its slot. */
+/** One server of a service and its sidecar. */
 export interface TargetSpec {
-  /** Unique over the whole configuration. */
+  /** Unique within the configuration. */
   readonly name: string;
   readonly failureDomain: string;
-  /** Where the sidecar beside the target listens; also its bind lock. */
+  /** Listening address of the sidecar. Binding it also ensures that only one sidecar runs. */
   readonly sidecar: Address;
-  /** Where the engine or plain service itself listens; only its own sidecar calls it. */
+  /** Listening address of the engine or plain service. Only its own sidecar calls it. */
   readonly backend: Address;
-  /** Whether the engine refuses orders that carry an old fencing number. */
+  /** Whether the engine rejects orders with an outdated fencing token. */
   readonly checksFencing: boolean;
-  /** Set by the operator to take the target out of service: no new work, running work ends. */
+  /**
+   * Whether the operator has withdrawn the target: it gets no new work and finishes running work.
+   */
   readonly withdrawn: boolean;
 }
 
-/** A model, optionally with an adapter, at a version that the service's engines must hold. */
+/** A version of a model, optionally with adapters, that the service's engines must have loaded. */
 export interface ModelSpec {
   readonly name: string;
   readonly version: string;
   readonly adapters: readonly string[];
-  /** Size of the weights, for planning loads within the weight store's rate. */
+  /** Size of the weights, used to plan loads within the transfer rate of the weight store. */
   readonly sizeMb: number;
 }
 
-/** Calls of a plain service that begin with this path. The longest matching prefix decides. */
+/**
+ * Settings for calls of a plain service with a path prefix. The longest matching prefix applies.
+ */
 export interface CallSpec {
   readonly pathPrefix: string;
-  /** False: the request runs at most once, whatever fails. */
+  /**
+   * Whether a request may run more than once. If false, it is never retried after it may have run.
+   */
   readonly repeatable: boolean;
 }
 
-/** Latency goals that make an answer count as goodput. */
+/** Latency goals that an answer must meet to count as goodput. */
 export interface GoalsSpec {
   readonly firstTokenMs: number;
-  /** 95 in 100 gaps between tokens are within this. */
+  /** Goal for the 95th percentile of the gaps between tokens. */
   readonly interTokenMs: number;
 }
 
-/** One service: its targets and the promises it is run under. */
+/** A service with its targets, latency goals and limits. */
 export interface ServiceSpec {
   readonly name: string;
   readonly kind: TargetKind;
-  /** Services that must be ready for this one to be ready; acyclic. */
+  /** Services that must be ready for this one to be ready. The dependencies are acyclic. */
   readonly dependsOn: readonly string[];
   readonly models: readonly ModelSpec[];
   readonly calls: readonly CallSpec[];
   readonly targets: readonly TargetSpec[];
   readonly goals: GoalsSpec;
-  /** The least number of targets that planned changes leave serving. */
+  /** Minimum number of targets that keep serving during planned changes. */
   readonly floorTargets: number;
   /** Whether the planner may change roles of this service's engines. */
   readonly rolesMayChange: boolean;
-  /** Lower is shed first under overload. */
+  /** Services with a lower priority are shed first under overload. */
   readonly priority: number;
-  /** The longest a request may take before it is given up, in milliseconds. */
+  /** Maximum duration of a request in milliseconds. */
   readonly deadlineMs: number;
-  /** Share of requests, 0 to 1, that may be retried or hedged on top of first tries. */
+  /** Retries and hedged requests allowed per first attempt, 0 to 1. */
   readonly retryBudgetRatio: number;
 }
 
-/** One paying workspace: who it is and what share of the fleet it may claim under contention. */
+/** A workspace with its credentials and its share of the fleet under contention. */
 export interface WorkspaceSpec {
   readonly name: string;
-  /** Weight in the fair shares; relative to the other workspaces. */
+  /** Fair-share weight relative to the other workspaces. */
   readonly share: number;
-  /** Hex SHA-256 digests of the API keys that belong to the workspace. */
+  /** Hexadecimal SHA-256 digests of the API keys of the workspace. */
   readonly apiKeySha256: readonly string[];
-  /** Upper bound on tokens a second, or null for no bound beyond the fair share. */
+  /** Maximum number of tokens per second; null if only the fair share applies. */
   readonly maxTokensPerS: number | null;
 }
 
-/** Bounds that hold for the whole deployment. */
+/** Limits for the whole deployment. */
 export interface LimitsSpec {
-  /** How long a finished answer is kept for a caller that returns late. */
+  /** How long a complete answer is kept for a caller that retries late. */
   readonly answerRetentionMs: number;
   readonly maxPromptTokens: number;
   readonly maxOutputTokens: number;
   readonly maxBodyBytes: number;
-  /** How long a shutting down process waits for running requests. */
+  /** How long a process waits for running requests during a graceful shutdown. */
   readonly drainMs: number;
 }
 
-/** Everything the operators say, compiled and checked. */
+/** The operators' configuration, compiled and validated. */
 export interface Configuration {
   readonly services: readonly ServiceSpec[];
   readonly workspaces: readonly WorkspaceSpec[];
   readonly limits: LimitsSpec;
 }
 
-/** The document as it is stored under one key of the key-value service. */
+/** The configuration document, stored under one key of the key-value service. */
 export interface ConfigurationDocument {
-  /** 1 for the first accepted edit, then one more for each; never goes back. */
+  /** 1 for the first accepted edit, incremented by each later one; never decreases. */
   readonly version: number;
-  /** Unique per edit, made by the command line, so that a resent edit recognises itself. */
+  /** Unique per edit and generated by the command line, so that a retried edit is detected. */
   readonly editId: string;
-  /** The operators' text as they wrote it. */
+  /** Original text of the operators. */
   readonly text: string;
   readonly compiled: Configuration;
-  /** Wall clock of the editor, for the history only. */
+  /** Wall-clock time at the editor's machine; used for the edit history only. */
   readonly editedAtMs: number;
   readonly editedBy: string;
 }
--- a/packages/coordination/src/core/model/member.ts
+++ b/packages/coordination/src/core/model/member.ts
@@ -1,34 +1,36 @@
 /**
- * The processes of the system as members see each other.
+ * Types of the processes in the membership, as members see each other.
  */
 import type { Address } from './configuration.js';
 
-/** The two kinds of daemon. */
+/** The kinds of daemon processes. */
 export enum MemberKind {
   Entry = 'entry',
   Sidecar = 'sidecar',
 }
 
-/** What the membership believes of a member. */
+/** State of a member in the membership. */
 export enum MemberState {
   Alive = 'alive',
-  /** Missed probes; treated as alive for records, avoided for new work. */
+  /** Has missed probes. It still counts as alive for records but gets no new work if avoidable. */
   Suspect = 'suspect',
-  /** Says itself that it is shutting down: no new work. */
+  /** Has announced that it is shutting down and gets no new work. */
   Leaving = 'leaving',
   Dead = 'dead',
 }
 
-/** One process. */
+/** A process in the membership. */
 export interface Member {
-  /** The process's address as `host:port`; unique, since it is bound exclusively. */
+  /** Address as `host:port`. Unique, because only one process can bind it. */
   readonly id: string;
   readonly kind: MemberKind;
   readonly address: Address;
   readonly failureDomain: string;
   /** The target beside a sidecar; empty for an entry. */
   readonly target: string;
-  /** Drawn anew at each start and raised to refute suspicion: the higher number is the newer news. */
+  /**
+   * Chosen at each start and increased to refute a suspicion. The higher number is the newer state.
+   */
   readonly incarnation: number;
   readonly state: MemberState;
 }
--- a/packages/coordination/src/core/model/outcome.ts
+++ b/packages/coordination/src/core/model/outcome.ts
@@ -1,39 +1,39 @@
 /**
- * What became of a request, in the words that callers and records use. A refusal says truly whether
- * the request ran.
+ * Types for the outcome of a request, shared by answers to callers and by records. A rejection
+ * always states correctly whether the request ran.
  */
 
-/** Whether work was done for a request that is refused or given up. */
+/** Whether a request that was rejected or abandoned has run. */
 export enum RunState {
-  /** No target was ever handed the request. */
+  /** The request was never sent to a target. */
   NotRun = 'not-run',
-  /** A target is working on it now. */
+  /** A target is currently running it. */
   Running = 'running',
-  /** It may have run; nobody left alive can say. */
+  /** It may have run, but no live process knows. */
   Unknown = 'unknown',
-  /** It ran to its end. */
+  /** It ran to completion. */
   Ran = 'ran',
 }
 
-/** The life of a request's record. */
+/** Phase of a request's record. */
 export enum RecordPhase {
-  /** Accepted, not handed to a target yet. */
+  /** Accepted but not sent to a target yet. */
   Accepted = 'accepted',
-  /** Handed to a target. */
+  /** Sent to a target. */
   Dispatched = 'dispatched',
-  /** Whole answer is known. */
+  /** The complete answer is known. */
   Answered = 'answered',
-  /** Final answer is a typed failure. */
+  /** The final answer is a typed failure. */
   Failed = 'failed',
 }
 
-/** Identifies a request for idempotency: the same key in another workspace is another request. */
+/** Identifies a request for idempotency. Keys are scoped to their workspace. */
 export interface RequestKey {
   readonly workspace: string;
   readonly idempotencyKey: string;
 }
 
-/** One text that stands for a {@link RequestKey} in maps and placement. */
+/** Serializes a {@link RequestKey} for use as a map key and in placement. */
 export function requestKeyText(key: RequestKey): string {
   return JSON.stringify([key.workspace, key.idempotencyKey]);
 }
--- a/packages/coordination/src/core/status/status.ts
+++ b/packages/coordination/src/core/status/status.ts
@@ -1,21 +1,21 @@
 /**
- * What a process tells of itself over `status.read`, `timeline.read` and `metrics.read`. Plain JSON
- * data; every list is bounded by the configuration or by the number of members. Status is for
- * people and checks: no decision rests on it.
+ * Types of the answers to `status.read`, `timeline.read` and `metrics.read`. All values are plain
+ * JSON data, and every list is bounded by the configuration or by the number of members. Status
+ * serves people and health checks; no coordination decision depends on it.
  */
 import type { EventKind, TimelineEvent } from '../events/event.js';
 import type { EngineRole, TargetKind } from '../model/configuration.js';
 import type { MemberKind, MemberState } from '../model/member.js';
 
-/** How a process sees one target of a service. */
+/** Condition of a target, as one process sees it. */
 export enum TargetCondition {
-  /** Takes new work. */
+  /** Accepts new work. */
   Ready = 'ready',
-  /** Loads a model, changes its role or has not reported yet. */
+  /** Is loading a model, is changing its role or has not reported yet. */
   Changing = 'changing',
-  /** No new work; running work ends. */
+  /** Accepts no new work and finishes running work. */
   Draining = 'draining',
-  /** Taken out after failures; probed until it is well. */
+  /** Removed from routing after failures; probed until it recovers. */
   Ejected = 'ejected',
   /** Its sidecar is not a live member. */
   Unreachable = 'unreachable',
@@ -28,35 +28,39 @@
   readonly condition: TargetCondition;
   /** The engine's role, or null for a plain service or before the first report. */
   readonly role: EngineRole | null;
-  /** Share of its capacity in use, 0 to 1, from the latest report; null before one came. */
+  /**
+   * Fraction of its capacity in use, 0 to 1, from the latest report; null before the first report.
+   */
   readonly loadRatio: number | null;
   readonly runningRequests: number;
   readonly queuedRequests: number;
-  /** Age of the report that this rests on, or null before one came. */
+  /** Age of the latest report; null before the first report. */
   readonly reportAgeMs: number | null;
 }
 
-/** Who plans a service, as the answering process knows it. */
+/** The planner of a service, as known to the answering process. */
 export interface AuthorityStatus {
-  /** Member id of the holder of the planner's lease, or null when nobody is known to hold it. */
+  /** Member id of the holder of the planner's lease; null if no holder is known. */
   readonly holder: string | null;
-  /** The holder's fencing number: the lease key's create revision; null without a holder. */
+  /**
+   * Fencing token of the holder, which is the lease key's create revision; null without a holder.
+   */
   readonly fence: number | null;
 }
 
-/** Answers counted since the process started; a reader takes differences for rates. */
+/** Answers counted since the process started. Consumers compute rates from differences. */
 export interface GoodputStatus {
-  /** Requests answered whole. */
+  /** Requests answered completely. */
   readonly answered: number;
-  /** Of these, within the service's latency goals. */
+  /** Complete answers within the service's latency goals. */
   readonly answeredWithinGoals: number;
   readonly refusedNotRun: number;
   readonly failed: number;
-  /** Tokens relayed to callers. */
+  /** Number of tokens relayed to callers. */
   readonly outputTokens: number;
 }
 
-/** The prompt-to-output mix over the process's latest window. */
+/** Prompt and output tokens in the latest window of the process. */
 export interface MixStatus {
   readonly windowMs: number;
   readonly promptTokens: number;
@@ -67,9 +71,9 @@
 export interface ServiceStatus {
   readonly name: string;
   readonly kind: TargetKind;
-  /** Whether it and all it depends on have the targets they need. */
+  /** Whether this service and all services it depends on have the targets they need. */
   readonly ready: boolean;
-  /** Why it is not ready, in one sentence; empty while it is. */
+  /** Why it is not ready, in one sentence; empty if it is ready. */
   readonly reason: string;
   readonly targets: readonly TargetStatus[];
   readonly authority: AuthorityStatus;
@@ -91,7 +95,7 @@
 
 /** Parameters of `status.read`. */
 export interface StatusQuery {
-  /** Whether to list the members; asked of one process only, as the list is long. */
+  /** Whether to include the members. Set for one process only, because the list is long. */
   readonly withMembers: boolean;
 }
 
@@ -103,34 +107,37 @@
   /** The target beside a sidecar; empty for an entry. */
   readonly target: string;
   readonly startedAtWallMs: number;
-  /** The version in force here; 0 before the first. */
+  /** Version of the active configuration; 0 before the first. */
   readonly configurationVersion: number;
-  /** Since when, by this process's wall clock. */
+  /** Wall-clock time at which this process applied the active configuration. */
   readonly configurationSinceWallMs: number;
-  /** Cut off: it can't know whether its configuration is the latest and takes no new work. */
+  /**
+   * Whether the process is isolated: it cannot tell if its configuration is current and accepts no
+   * new work.
+   */
   readonly doubt: boolean;
   readonly stopping: boolean;
   readonly membersByState: Readonly<Record<MemberState, number>>;
-  /** Present when the query asked for it. */
+  /** Present if the query requested the members. */
   readonly members?: readonly MemberStatus[];
-  /** Services that this process serves or routes to. */
+  /** The services that this process serves or routes to. */
   readonly services: readonly ServiceStatus[];
-  /** Counters by name, as in the metrics. */
+  /** Counters by metric name. */
   readonly counters: Readonly<Record<string, number>>;
 }
 
-/** Parameters of `timeline.read`: all given conditions must hold. */
+/** Parameters of `timeline.read`. An event must match all given conditions. */
 export interface TimelineQuery {
   readonly request?: string;
   readonly workspace?: string;
   readonly service?: string;
   readonly target?: string;
   readonly kinds?: readonly EventKind[];
-  /** The latest so many events of those that match. */
+  /** Returns at most this many of the latest matching events. */
   readonly limit: number;
 }
 
-/** Result of `timeline.read`: one process's matching events, oldest first. */
+/** Result of `timeline.read`: the matching events of one process, oldest first. */
 export interface ProcessTimeline {
   readonly memberId: string;
   readonly kind: MemberKind;
@@ -138,15 +145,15 @@
   /** The target beside a sidecar; empty or absent for an entry. */
   readonly target?: string;
   readonly events: readonly TimelineEvent[];
-  /** Events that the ring lost to newer ones since the process started. */
+  /** Number of events overwritten in the ring buffer since the process started. */
   readonly dropped: number;
-  /** Matching events left out because of the query's limit. */
+  /** Number of matching events omitted because of the query's limit. */
   readonly omitted: number;
 }
 
 /** Result of `metrics.read`. */
 export interface ProcessMetrics {
   readonly memberId: string;
-  /** The Prometheus text exposition format. */
+  /** Metrics in the Prometheus text exposition format. */
   readonly prometheusText: string;
 }
