--- a/packages/coordination/src/core/clock/elapsed.ts
+++ b/packages/coordination/src/core/clock/elapsed.ts
@@ -1,26 +1,26 @@
 /**
- * Time that has passed for everybody else. A monotonic clock may stand still while its VM is
- * suspended; the time of day does not. Whoever holds a lease must count that time.
+ * Measures elapsed time including the time in which the VM was suspended. A monotonic clock may
+ * stop during a suspension while the wall clock does not, and a lease holder must count that time.
  */
 import type { Clocks, ReadClock } from './clock.js';
 
-/** Differences under this are the time of day being adjusted slowly. */
+/** Smaller differences are gradual adjustments of the wall clock. */
 const MIN_JUMP_MS = 50;
 
 /**
- * Makes a clock that never runs slower than either of the two: a time of day that is put forward
- * makes a lease end early, which is safe; one that is put back is not believed.
+ * Creates a clock that never runs slower than either of the two clocks. If the wall clock is set
+ * forward, a lease ends early, which is safe. If it is set back, the change is ignored.
  */
 export function createElapsedClock({ monotonicMs, wallMs }: Clocks): ReadClock {
   let skippedMs = 0;
-  let lead = wallMs() - monotonicMs();
+  let wallOffsetMs = wallMs() - monotonicMs();
   return () => {
-    const now = monotonicMs();
-    const jumpMs = wallMs() - now - lead;
+    const nowMs = monotonicMs();
+    const jumpMs = wallMs() - nowMs - wallOffsetMs;
     if (Math.abs(jumpMs) > MIN_JUMP_MS) {
-      lead += jumpMs;
+      wallOffsetMs += jumpMs;
       skippedMs += Math.max(0, jumpMs);
     }
-    return now + skippedMs;
+    return nowMs + skippedMs;
   };
 }
--- a/packages/coordination/src/core/failures/failure.ts
+++ b/packages/coordination/src/core/failures/failure.ts
@@ -1,11 +1,11 @@
 /**
- * Failures as values: every failure of the product is an entry of a typed catalogue with a title,
- * a message made from its own data and a hint that says what to do next. Subsystems declare their
- * entries with {@link defineFailure} in a `failures.ts` beside their code, so that no bare string
- * is ever thrown or returned.
+ * Represents failures as values. Each failure is an entry of a typed catalogue with a title, a
+ * message built from its data and a hint on what to do next. Subsystems declare their entries with
+ * {@link defineFailure} in a `failures.ts` next to their code and never throw or return bare
+ * strings.
  */
 
-/** One catalogue entry: how a failure of this name is explained to a person. */
+/** A catalogue entry with the texts that explain this failure to a person. */
 export interface FailureSpec<Name extends string, Data> {
   readonly name: Name;
   readonly title: string;
@@ -13,7 +13,7 @@
   readonly hint: string;
 }
 
-/** One occurrence of a failure; plain data, so that it crosses processes as JSON. */
+/** An occurrence of a failure. Plain data that can be sent between processes as JSON. */
 export interface Failure<Name extends string = string, Data = unknown> {
   readonly name: Name;
   readonly title: string;
@@ -22,13 +22,13 @@
   readonly data: Data;
 }
 
-/** A catalogue entry that can also make occurrences of itself. */
+/** A catalogue entry that creates and recognizes its occurrences. */
 export interface FailureKind<Name extends string, Data> extends FailureSpec<Name, Data> {
   readonly of: (data: Data) => Failure<Name, Data>;
   readonly is: (failure: Failure) => failure is Failure<Name, Data>;
 }
 
-/** Declares a catalogue entry; names are kebab-case and unique over the repository. */
+/** Declares a catalogue entry. Names are kebab-case and unique within the repository. */
 export function defineFailure<Name extends string, Data>(
   spec: FailureSpec<Name, Data>,
 ): FailureKind<Name, Data> {
@@ -45,7 +45,7 @@
   };
 }
 
-/** Carries a {@link Failure} through code that can only throw, such as a library's callback. */
+/** Wraps a {@link Failure} for code that can only throw, such as a callback of a library. */
 export class FailureError extends Error {
   constructor(readonly failure: Failure) {
     super(failure.message);
--- a/packages/coordination/test/core/failures/failure.test.ts
+++ b/packages/coordination/test/core/failures/failure.test.ts
@@ -1,4 +1,4 @@
-/** The catalogue: an entry explains itself from its own data and recognises its occurrences. */
+/** A catalogue entry creates messages from its data and recognizes its occurrences. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { defineFailure } from '../../../src/core/failures/failure.js';
@@ -13,13 +13,13 @@
 
 describe('failure catalogue', () => {
   describe('an occurrence', () => {
-    it('carries the message made from its own data', () => {
+    it('has a message built from its own data', () => {
       const failure = PORT_TAKEN.of({ port: 80 });
       assert.equal(failure.message, 'Port 80 is in use.');
       assert.deepEqual(failure.data, { port: 80 });
     });
 
-    it('is recognised by its own entry only, also after JSON', () => {
+    it('is recognized only by its own entry, also after a JSON round trip', () => {
       const failure = JSON.parse(JSON.stringify(PORT_TAKEN.of({ port: 80 })));
       assert.equal(PORT_TAKEN.is(failure), true);
       assert.equal(OTHER.is(failure), false);
--- a/packages/coordination/test/core/random/random.test.ts
+++ b/packages/coordination/test/core/random/random.test.ts
@@ -1,11 +1,11 @@
-/** Seeded randomness: the same seed replays the same draws. */
+/** Seeded random numbers: the same seed reproduces the same sequence. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
 import { randomBelow, seededRandom } from '../../../src/core/random/random.js';
 
-describe('seeded randomness', () => {
-  it('replays the same draws for the same seed', () => {
+describe('seeded random numbers', () => {
+  it('reproduces the same sequence for the same seed', () => {
     fc.assert(
       fc.property(fc.integer(), (seed) => {
         const first = seededRandom(seed);
@@ -16,7 +16,7 @@
     );
   });
 
-  it('draws whole numbers within the bound', () => {
+  it('returns integers within the bound', () => {
     fc.assert(
       fc.property(fc.integer(), fc.integer({ min: 1, max: 1000 }), (seed, bound) => {
         const drawn = randomBelow(seededRandom(seed), bound);
