--- a/packages/coordination/src/core/events/event.ts
+++ b/packages/coordination/src/core/events/event.ts
@@ -1,10 +1,10 @@
 /**
- * Typed events of the time line. Every process keeps the latest in a bounded ring and stamps each
- * with a hybrid logical clock, so that a cause sorts before its effect even where the wall clocks
- * of two VMs differ.
+ * Types of the events in the time line. Each process keeps its latest events in a bounded ring
+ * buffer and timestamps them with a hybrid logical clock, so that causes sort before their effects
+ * even if the wall clocks of two VMs differ.
  */
 
-/** What kind of thing happened; the time line filters and colours by it. */
+/** Kinds of events, by which the time line is filtered and coloured. */
 export enum EventKind {
   ProcessStarted = 'process-started',
   ProcessStopping = 'process-stopping',
@@ -38,28 +38,28 @@
   ClaimRefused = 'claim-refused',
 }
 
-/** A reading of a hybrid logical clock: wall time, then a counter that breaks ties causally. */
+/** A timestamp of a hybrid logical clock: wall time plus a counter that orders equal wall times. */
 export interface HybridTime {
   readonly wallMs: number;
   readonly counter: number;
 }
 
-/** One event. Absent fields do not apply to its kind. */
+/** An event. Absent fields do not apply to its kind. */
 export interface TimelineEvent {
   readonly kind: EventKind;
   readonly at: HybridTime;
-  /** Member id of the process that saw it. */
+  /** Member id of the process that recorded it. */
   readonly process: string;
-  /** Text of the request key, where the event belongs to one request. */
+  /** Serialized request key, if the event belongs to a single request. */
   readonly request?: string;
   readonly workspace?: string;
   readonly service?: string;
   readonly target?: string;
-  /** Why it was decided, in one sentence for a person. */
+  /** Reason for the decision, in one sentence for a person. */
   readonly reason?: string;
-  /** The figures that the decision rested on. */
+  /** Values on which the decision was based. */
   readonly figures?: Readonly<Record<string, number | string | boolean>>;
 }
 
-/** An event as decision code emits it: the process stamps and signs it. */
+/** An event as emitted by decision code. The process adds the timestamp and its member id. */
 export type UnstampedEvent = Omit<TimelineEvent, 'at' | 'process'>;
--- a/packages/coordination/src/core/events/filter.ts
+++ b/packages/coordination/src/core/events/filter.ts
@@ -1,28 +1,28 @@
 /**
- * Which events a person asked for. A request is named either by the whole text of its key or by the
- * idempotency key alone, as a caller quotes it.
+ * Filters events for a query. A request is identified either by its serialized key or by the
+ * idempotency key alone, which is the part that a caller knows.
  */
 import type { TimelineQuery } from '../status/status.js';
 import type { TimelineEvent } from './event.js';
 
-/** The conditions of a query; all given ones must hold. */
+/** Conditions of a query. An event must match all given conditions. */
 export type TimelineFilter = Omit<TimelineQuery, 'limit'>;
 
-/** The most events that one process answers with; about 600 KB of JSON. */
+/** Maximum number of events in the answer of one process; about 600 KB of JSON. */
 export const MAX_QUERY_EVENTS = 4_000;
 
-/** Whether the event fits every condition. */
+/** Returns whether the event matches all conditions. */
 export function matchesFilter(filter: TimelineFilter, event: TimelineEvent): boolean {
   return (
-    isOrAbsent(filter.workspace, event.workspace) &&
-    isOrAbsent(filter.service, event.service) &&
-    isOrAbsent(filter.target, event.target) &&
+    matchesOrAbsent(filter.workspace, event.workspace) &&
+    matchesOrAbsent(filter.service, event.service) &&
+    matchesOrAbsent(filter.target, event.target) &&
     (filter.kinds === undefined || filter.kinds.includes(event.kind)) &&
     (filter.request === undefined || isRequest(filter.request, event.request))
   );
 }
 
-function isOrAbsent(wanted: string | undefined, found: string | undefined): boolean {
+function matchesOrAbsent(wanted: string | undefined, found: string | undefined): boolean {
   return wanted === undefined || wanted === found;
 }
 
@@ -31,7 +31,7 @@
   return found === wanted || idempotencyKeyIn(found) === wanted;
 }
 
-/** The idempotency key within the text of a request key; null for any other text. */
+/** Returns the idempotency key in a serialized request key, or null for any other text. */
 export function idempotencyKeyIn(requestText: string): string | null {
   try {
     const parsed: unknown = JSON.parse(requestText);
@@ -42,14 +42,14 @@
   }
 }
 
-/** The latest matching events, oldest first, and how many older ones were left out. */
+/** Returns the latest matching events, oldest first, and the number of older ones omitted. */
 export function queryEvents(
   events: readonly TimelineEvent[],
   query: TimelineQuery,
 ): { readonly events: readonly TimelineEvent[]; readonly omitted: number } {
   const matching = events.filter((event) => matchesFilter(query, event));
-  const asked = Number.isFinite(query.limit) ? Math.floor(query.limit) : MAX_QUERY_EVENTS;
-  const limit = Math.min(MAX_QUERY_EVENTS, Math.max(0, asked));
+  const requestedLimit = Number.isFinite(query.limit) ? Math.floor(query.limit) : MAX_QUERY_EVENTS;
+  const limit = Math.min(MAX_QUERY_EVENTS, Math.max(0, requestedLimit));
   const omitted = Math.max(0, matching.length - limit);
   return { events: matching.slice(omitted), omitted };
 }
--- a/packages/coordination/src/core/events/hybrid-clock.ts
+++ b/packages/coordination/src/core/events/hybrid-clock.ts
@@ -1,32 +1,33 @@
 /**
- * A hybrid logical clock: wall time as long as that moves on, and a counter where it does not. Each
- * message carries the sender's reading, and its receiver moves past it; so an event that caused
- * another always has the lower reading, whatever the two wall clocks show.
+ * Implements a hybrid logical clock: wall time while it advances, plus a counter while it does not.
+ * Each message carries the sender's timestamp and the receiver advances its clock past it, so that
+ * a cause always has a lower timestamp than its effect, whatever the two wall clocks show.
  */
 import type { HybridTime } from './event.js';
 
-/** The clock of one process. */
+/** The hybrid logical clock of one process. */
 export interface HybridClock {
   wallMs: number;
   counter: number;
-  /** Readings that were not taken over because they lay too far ahead. */
+  /** Number of received timestamps rejected for being too far ahead. */
   refused: number;
 }
 
 /**
- * How far ahead of the own wall clock a received reading may lie, in milliseconds. One VM whose
- * clock is a day ahead would else drag the time line of the whole fleet there, for good.
+ * How far a received timestamp may be ahead of the local wall clock, in milliseconds. Without this
+ * limit, one VM whose clock is a day ahead would permanently move the time line of the whole fleet
+ * forward by a day.
  */
 export const MAX_CLOCK_DRIFT_MS = 60_000;
 
 const TEXT_PATTERN = /^(\d{1,15})\.(\d{1,9})$/;
 
-/** A clock that has shown nothing yet. */
+/** Creates a clock that has not issued a timestamp yet. */
 export function createHybridClock(): HybridClock {
   return { wallMs: 0, counter: 0, refused: 0 };
 }
 
-/** The reading for a local event or a message about to be sent; later than all before it. */
+/** Returns a timestamp for a local event or an outgoing message, later than all earlier ones. */
 export function tickHybridClock(clock: HybridClock, wallNowMs: number): HybridTime {
   const nowMs = Math.floor(wallNowMs);
   if (nowMs > clock.wallMs) {
@@ -39,10 +40,10 @@
 }
 
 /**
- * Moves the clock past a reading that came with a message.
+ * Advances the clock past the timestamp of a received message.
  *
- * @returns false when the reading lies beyond `maxDriftMs` and was not taken over: order between
- * the two processes then follows the wall clocks only, and `refused` counts it.
+ * @returns false if the timestamp is more than `maxDriftMs` ahead. It is then rejected and counted
+ * in `refused`, and events of the two processes are ordered by their wall clocks only.
  */
 export function mergeHybridTime(
   clock: HybridClock,
@@ -61,17 +62,17 @@
   return true;
 }
 
-/** Orders readings: negative when `a` is earlier. */
+/** Compares two timestamps. The result is negative if `a` is earlier. */
 export function compareHybridTimes(a: HybridTime, b: HybridTime): number {
   return a.wallMs - b.wallMs || a.counter - b.counter;
 }
 
-/** The reading as it travels in a header. */
+/** Serializes a timestamp for a header. */
 export function writeHybridTime({ wallMs, counter }: HybridTime): string {
   return `${String(wallMs)}.${String(counter)}`;
 }
 
-/** Reads a header's reading; null for anything malformed. */
+/** Parses a timestamp from a header. Returns null if it is malformed. */
 export function readHybridTime(text: string): HybridTime | null {
   const match = TEXT_PATTERN.exec(text);
   if (match === null) return null;
--- a/packages/coordination/src/core/events/outage.ts
+++ b/packages/coordination/src/core/events/outage.ts
@@ -1,32 +1,32 @@
 /**
- * When a process says that a system it depends on is out: after several failed calls in a row, and
- * back at the first that succeeds. One lost answer is no outage, and a process that calls rarely says
- * nothing until it does.
+ * Detects outages of a system that the process depends on. An outage begins after several
+ * consecutive failed calls and ends with the first successful one. A single lost answer is not an
+ * outage, and a process that calls rarely detects one only once it has made enough calls.
  */
 
-/** Failed calls in a row that make an outage. */
+/** Number of consecutive failed calls after which an outage begins. */
 export const OUTAGE_FAILURES = 3;
 
-/** What is remembered of the calls. */
+/** State of the outage detection. */
 export interface OutageWatch {
   failuresInRow: number;
-  /** When the present outage was noticed, by the process's monotonic clock; null while there is none. */
+  /** When the current outage was detected, by the process's monotonic clock; null without one. */
   outSinceMs: number | null;
 }
 
-/** What a call's outcome changed. */
+/** How the outcome of a call changed the state. */
 export enum OutageChange {
   None = 'none',
   Began = 'began',
   Ended = 'ended',
 }
 
-/** A watch that has seen no call. */
+/** Creates the state before the first call. */
 export function createOutageWatch(): OutageWatch {
   return { failuresInRow: 0, outSinceMs: null };
 }
 
-/** Takes in a call that succeeded. */
+/** Records a successful call. */
 export function noteSuccess(watch: OutageWatch): OutageChange {
   watch.failuresInRow = 0;
   if (watch.outSinceMs === null) return OutageChange.None;
@@ -34,7 +34,7 @@
   return OutageChange.Ended;
 }
 
-/** Takes in a call that failed. */
+/** Records a failed call. */
 export function noteFailure(watch: OutageWatch, nowMs: number): OutageChange {
   watch.failuresInRow += 1;
   if (watch.outSinceMs !== null || watch.failuresInRow < OUTAGE_FAILURES) return OutageChange.None;
--- a/packages/coordination/src/core/events/page/category.ts
+++ b/packages/coordination/src/core/events/page/category.ts
@@ -1,30 +1,33 @@
 /**
- * Groups the kinds of events for the page: a person first looks for trouble, then for what caused
- * it. Each group has its own row in a lane and its own colour.
+ * Groups the kinds of events into categories for the page, so that failures and their causes are
+ * easy to find. Each category has its own row in a lane and its own colour.
  */
 import { EventKind } from '../event.js';
 
-/** A group of kinds. */
+/** Categories of event kinds. */
 export enum EventCategory {
-  /** A request goes its ordinary way. */
+  /** Normal processing of a request. */
   Request = 'request',
-  /** A request is retried, resumed, taken over or refused. */
+  /** A request is retried, resumed, taken over or rejected. */
   Rescue = 'rescue',
-  /** Orders, roles, loads and who may give them. */
+  /** Orders, role changes, model loads and the authority to order them. */
   Control = 'control',
-  /** Processes, members and the configuration. */
+  /** Changes of processes, members and the configuration. */
   Fleet = 'fleet',
-  /** Something broke. */
+  /** Failures. */
   Trouble = 'trouble',
 }
 
-/** How a group is shown. */
+/** Label and colour of a category. */
 export interface CategoryStyle {
   readonly label: string;
   readonly colour: string;
 }
 
-/** Colours that also those tell apart who see no red or green, on white. */
+/**
+ * Styles of the categories. The colours are distinguishable on white with red-green colour
+ * blindness.
+ */
 export const CATEGORY_STYLES: Readonly<Record<EventCategory, CategoryStyle>> = {
   [EventCategory.Trouble]: { label: 'Trouble', colour: '#c0392b' },
   [EventCategory.Rescue]: { label: 'Retried, resumed, refused', colour: '#e08e0b' },
@@ -33,7 +36,7 @@
   [EventCategory.Fleet]: { label: 'Processes and configuration', colour: '#4b7f52' },
 };
 
-/** The group of each kind. */
+/** Category of each event kind. */
 export const CATEGORY_OF: Readonly<Record<EventKind, EventCategory>> = {
   [EventKind.ProcessStarted]: EventCategory.Fleet,
   [EventKind.ProcessStopping]: EventCategory.Fleet,
--- a/packages/coordination/src/core/events/page/page.ts
+++ b/packages/coordination/src/core/events/page/page.ts
@@ -1,16 +1,16 @@
 /**
- * The time line as one self-contained HTML page: a lane per process, a row and a colour per group of
- * events, filters, zoom, and the list. It loads nothing from anywhere.
+ * Writes the time line as a self-contained HTML page with a lane per process, a row and colour per
+ * event category, filters, zoom and a list of events. The page loads no external resources.
  */
 import { missingFrom, type Timeline } from '../timeline.js';
 import { CATEGORY_OF, CATEGORY_STYLES } from './category.js';
 import { PAGE_SCRIPT } from './script.js';
 import { PAGE_STYLE } from './style.js';
 
-/** Nothing outside the page may load or run, even if a value slipped into its markup. */
+/** Blocks all external resources and scripts, even if an unescaped value ends up in the markup. */
 const CONTENT_POLICY = "default-src 'none'; style-src 'unsafe-inline'; script-src 'unsafe-inline'";
 
-/** Makes any text safe between tags and in quoted attributes. */
+/** Escapes a text for use between tags and in quoted attributes. */
 function escapeHtml(text: string): string {
   const replacements: Readonly<Record<string, string>> = {
     '&': '&amp;',
@@ -22,7 +22,10 @@
   return text.replace(/[&<>"']/g, (character) => replacements[character] ?? character);
 }
 
-/** JSON for a script element: a value that holds `</script>` must not end it. */
+/**
+ * Serializes a value for a script element. Escapes `<` so that `</script>` in a value does not end
+ * it.
+ */
 function embeddedJson(value: unknown): string {
   return JSON.stringify(value).replaceAll('<', String.raw`\u003c`);
 }
@@ -60,7 +63,7 @@
   return `${counts}, ${seconds} s from ${from}`;
 }
 
-/** Writes the page. */
+/** Returns the HTML of the page. */
 export function timelinePage(timeline: Timeline): string {
   const data = {
     events: timeline.events,
--- a/packages/coordination/src/core/events/page/script.ts
+++ b/packages/coordination/src/core/events/page/script.ts
@@ -1,7 +1,7 @@
 /**
- * The script of the page, run by the reader's browser: filters, zoom, lanes on a canvas and the list
- * below. It is plain text here, as the page must stand alone; everything from the data goes into the
- * page as text, never as markup.
+ * Script of the time line page, which implements the filters, the zoom, the lanes on a canvas and
+ * the list of events. It is embedded as text because the page must be self-contained. All values
+ * from the data are inserted as text, never as markup.
  */
 export const PAGE_SCRIPT = String.raw`
 'use strict';
--- a/packages/coordination/src/core/events/page/style.ts
+++ b/packages/coordination/src/core/events/page/style.ts
@@ -1,6 +1,4 @@
-/**
- * The style sheet of the page.
- */
+/** Style sheet of the time line page. */
 export const PAGE_STYLE = `
 body { font: 14px/1.45 system-ui, sans-serif; margin: 0; color: #1d2733; background: #f4f6f8; }
 header { padding: 14px 20px 6px; }
--- a/packages/coordination/src/core/events/timeline.ts
+++ b/packages/coordination/src/core/events/timeline.ts
@@ -1,33 +1,35 @@
 /**
- * The time line over all processes: their events in causal order, and what is missing from it.
+ * Merges the events of all processes into one time line in causal order, and reports which events
+ * are missing from it.
  */
 import type { MemberKind } from '../model/member.js';
 import type { ProcessTimeline } from '../status/status.js';
 import type { TimelineEvent } from './event.js';
 import { compareHybridTimes } from './hybrid-clock.js';
 
-/** A process whose events could not be had. */
+/** A process whose events could not be fetched. */
 export interface UnreachableProcess {
   readonly memberId: string;
-  /** Why, in one sentence. */
+  /** Why it could not be reached, in one sentence. */
   readonly reason: string;
 }
 
-/** One process of the time line; a lane of its page. */
+/** A process in the time line, shown as a lane on the page. */
 export interface TimelineLane {
   readonly memberId: string;
   readonly kind: MemberKind;
   readonly failureDomain: string;
   /** The target beside a sidecar; empty or absent for an entry. */
   readonly target?: string;
+  /** Number of its events in the time line. */
   readonly events: number;
-  /** Events lost to the bound of its ring since it started. */
+  /** Number of events overwritten in its ring buffer since it started. */
   readonly dropped: number;
-  /** Matching events left out by the query's limit. */
+  /** Number of matching events omitted because of the query's limit. */
   readonly omitted: number;
 }
 
-/** Everything that was gathered. */
+/** The merged time line. */
 export interface Timeline {
   /** In causal order. */
   readonly events: readonly TimelineEvent[];
@@ -35,7 +37,9 @@
   readonly unreachable: readonly UnreachableProcess[];
 }
 
-/** Orders events: by hybrid time, then by process so that the order is the same everywhere. */
+/**
+ * Compares events by hybrid time, then by process, so that every process sorts them the same way.
+ */
 export function compareEvents(a: TimelineEvent, b: TimelineEvent): number {
   return compareHybridTimes(a.at, b.at) || compareTexts(a.process, b.process);
 }
@@ -45,14 +49,14 @@
   return a < b ? -1 : 1;
 }
 
-/** Puts the answers of many processes together. */
+/** Merges the answers of several processes. */
 export function mergeTimelines(
   processes: readonly ProcessTimeline[],
   unreachable: readonly UnreachableProcess[],
 ): Timeline {
   const events = processes.flatMap((process) => process.events).sort(compareEvents);
   const lanes = processes
-    .map(({ events: own, ...process }) => ({ ...process, events: own.length }))
+    .map(({ events: processEvents, ...process }) => ({ ...process, events: processEvents.length }))
     .sort(compareLanes);
   return { events, lanes, unreachable };
 }
@@ -65,7 +69,7 @@
   );
 }
 
-/** One sentence for each thing that the time line lacks; none when it is whole. */
+/** Returns one sentence for each gap in the time line; empty if it is complete. */
 export function missingFrom(timeline: Timeline): readonly string[] {
   const unreachable = timeline.unreachable.map(
     ({ memberId, reason }) => `${memberId} could not be reached: ${reason}`,
--- a/packages/coordination/src/core/events/write-text.ts
+++ b/packages/coordination/src/core/events/write-text.ts
@@ -1,11 +1,11 @@
 /**
- * The time line as lines of text and as JSON.
+ * Writes the time line as lines of text and as JSON.
  */
 import type { TimelineEvent } from './event.js';
 import { idempotencyKeyIn } from './filter.js';
 import { missingFrom, type Timeline } from './timeline.js';
 
-/** What the event is about, in a few words: `request r-1 · service inspect-llm`. */
+/** Describes the subject of an event, such as `request r-1 · service inspect-llm`. */
 export function eventSubject(event: TimelineEvent): string {
   const request =
     event.request === undefined ? undefined : (idempotencyKeyIn(event.request) ?? event.request);
@@ -21,29 +21,29 @@
     .join(' · ');
 }
 
-/** The figures of an event: `version=3 previous=2`. */
+/** Formats the figures of an event, such as `version=3 previous=2`. */
 export function eventFigures(event: TimelineEvent): string {
   return Object.entries(event.figures ?? {})
     .map(([name, value]) => `${name}=${String(value)}`)
     .join(' ');
 }
 
-/** One event on one line. */
+/** Formats an event as one line. */
 export function eventLine(event: TimelineEvent): string {
   const time = new Date(event.at.wallMs).toISOString().slice(11);
-  const what = `${time} ${event.process.padEnd(21)} ${event.kind.padEnd(22)}`;
-  return [what, eventSubject(event), event.reason ?? '', eventFigures(event)]
+  const prefix = `${time} ${event.process.padEnd(21)} ${event.kind.padEnd(22)}`;
+  return [prefix, eventSubject(event), event.reason ?? '', eventFigures(event)]
     .filter((part) => part !== '')
     .join(' | ');
 }
 
-/** The time line as text; what is missing comes first, so that nobody overlooks it. */
+/** Formats the time line as text. Gaps are listed first, where they are not overlooked. */
 export function timelineText(timeline: Timeline): string {
   const notes = missingFrom(timeline).map((note) => `# ${note}`);
   return [...notes, ...timeline.events.map(eventLine), ''].join('\n');
 }
 
-/** The time line as one JSON document. */
+/** Formats the time line as a JSON document. */
 export function timelineJson(timeline: Timeline): string {
   return `${JSON.stringify(timeline, null, 2)}\n`;
 }
--- a/packages/coordination/src/core/events/write-trace.ts
+++ b/packages/coordination/src/core/events/write-trace.ts
@@ -1,7 +1,7 @@
 /**
- * The time line in the Trace Event Format, which Perfetto and Chromium's tracing page open: one
- * process per member, an instant per event, and one asynchronous span per request from the first
- * event that names it to the last.
+ * Writes the time line in the Trace Event Format, which Perfetto and Chromium's tracing page can
+ * open: one process per member, one instant event per event, and one asynchronous span per request
+ * from its first event to its last.
  */
 import type { TimelineEvent } from './event.js';
 import { idempotencyKeyIn } from './filter.js';
@@ -9,10 +9,10 @@
 
 const US_PER_MS = 1_000;
 
-/** Readings of one millisecond are set apart by a microsecond each, up to the next millisecond. */
+/** Events in the same millisecond are one microsecond apart, up to the next millisecond. */
 const MAX_COUNTER_US = 999;
 
-/** One entry of the format; its field names are the format's. */
+/** An entry in the Trace Event Format, which defines the field names. */
 export interface TraceEvent {
   readonly name: string;
   readonly cat: string;
@@ -30,8 +30,8 @@
 }
 
 function laneName({ memberId, kind, failureDomain, target }: TimelineLane): string {
-  const what = target === undefined || target === '' ? kind : target;
-  return `${what} ${memberId} (${failureDomain})`;
+  const label = target === undefined || target === '' ? kind : target;
+  return `${label} ${memberId} (${failureDomain})`;
 }
 
 function processEntries(lanes: readonly TimelineLane[]): TraceEvent[] {
@@ -82,7 +82,7 @@
   });
 }
 
-/** The time line as a Trace Event Format document. */
+/** Formats the time line as a Trace Event Format document. */
 export function timelineTrace(timeline: Timeline): string {
   const pids = new Map(timeline.lanes.map(({ memberId }, index) => [memberId, index + 1]));
   const pidOf = (event: TimelineEvent): number => pids.get(event.process) ?? 0;
--- a/packages/coordination/test/core/events/hybrid-clock.test.ts
+++ b/packages/coordination/test/core/events/hybrid-clock.test.ts
@@ -1,4 +1,4 @@
-/** Cause before effect, whatever the wall clocks show. */
+/** Timestamps order causes before effects, whatever the wall clocks show. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
@@ -14,7 +14,7 @@
 
 describe('the hybrid logical clock', () => {
   describe('within a process', () => {
-    it('never repeats or goes back, also when the wall clock does', () => {
+    it('never repeats or decreases, even if the wall clock does', () => {
       fc.assert(
         fc.property(fc.array(fc.nat(1_000)), (walls) => {
           const clock = createHybridClock();
@@ -31,11 +31,11 @@
 
   describe('across processes', () => {
     /*
-     * Story: an entry whose clock is 40 s ahead dispatches a request; the engine crashes and the
-     * sidecar, with the right time, writes it down. Sorted by wall clocks the crash would stand
-     * before the dispatch that led to it.
+     * An entry whose clock is 40 s ahead dispatches a request. The engine crashes, and its sidecar,
+     * whose clock is correct, records the crash. Sorted by wall clock, the crash would precede the
+     * dispatch that caused it.
      */
-    it('sorts an effect after its cause though the receiver’s clock is behind', () => {
+    it('sorts an effect after its cause although the receiver’s clock is behind', () => {
       const sender = createHybridClock();
       const receiver = createHybridClock();
       const sent = tickHybridClock(sender, 140_000);
@@ -44,7 +44,7 @@
       assert.ok(compareHybridTimes(sent, effect) < 0);
     });
 
-    it('keeps the order along any chain of messages', () => {
+    it('preserves the order along any chain of messages', () => {
       const hop = fc.record({ to: fc.nat(3), wallMs: fc.nat(MAX_CLOCK_DRIFT_MS) });
       fc.assert(
         fc.property(fc.array(hop), (hops) => {
@@ -62,7 +62,7 @@
       );
     });
 
-    it('is not dragged along by a clock that is far ahead', () => {
+    it('rejects a timestamp that is too far ahead', () => {
       const clock = createHybridClock();
       const faulty = { wallMs: 1_000 + MAX_CLOCK_DRIFT_MS + 1, counter: 0 };
       assert.equal(mergeHybridTime(clock, faulty, 1_000), false);
@@ -72,14 +72,14 @@
   });
 
   describe('in a header', () => {
-    it('is read back as it was written', () => {
+    it('is parsed back to the same timestamp', () => {
       assert.deepEqual(readHybridTime(writeHybridTime({ wallMs: 17, counter: 3 })), {
         wallMs: 17,
         counter: 3,
       });
     });
 
-    it('is refused when malformed', () => {
+    it('is rejected if malformed', () => {
       for (const text of ['', '1', '1.', '-1.0', '1e9.0', '1.0.0', 'NaN.0', '9'.repeat(40)]) {
         assert.equal(readHybridTime(text), null);
       }
--- a/packages/coordination/test/core/events/outage.test.ts
+++ b/packages/coordination/test/core/events/outage.test.ts
@@ -1,4 +1,4 @@
-/** When an outage begins and ends. */
+/** Detection of the beginning and end of an outage. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import {
@@ -10,7 +10,7 @@
 } from '../../../src/core/events/outage.js';
 
 describe('an outage', () => {
-  it('begins once, after several failures in a row', () => {
+  it('begins once, after several consecutive failures', () => {
     const watch = createOutageWatch();
     const changes = Array.from({ length: 5 }, (_, index) => noteFailure(watch, index * 1_000));
     assert.deepEqual(changes.indexOf(OutageChange.Began), OUTAGE_FAILURES - 1);
@@ -25,7 +25,7 @@
     assert.equal(noteSuccess(watch), OutageChange.None);
   });
 
-  it('is not made of single lost answers', () => {
+  it('does not begin because of isolated failures', () => {
     const watch = createOutageWatch();
     for (let call = 0; call < 100; call += 1) {
       assert.equal(noteFailure(watch, call), OutageChange.None);
--- a/packages/coordination/test/core/events/timeline.test.ts
+++ b/packages/coordination/test/core/events/timeline.test.ts
@@ -1,4 +1,4 @@
-/** Ring, filters, order and writers of the time line. */
+/** Ring buffer, filters, order and writers of the time line. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { EventKind } from '../../../src/core/events/event.js';
@@ -13,17 +13,17 @@
 import { compareEvents, mergeTimelines, missingFrom } from '../../../src/core/events/timeline.js';
 import { timelineJson, timelineText } from '../../../src/core/events/write-text.js';
 import { timelineTrace, type TraceEvent } from '../../../src/core/events/write-trace.js';
-import { STORY, STORY_PROCESSES, STORY_REQUEST } from '../../fixtures/timelines.js';
+import { SAMPLE_TIMELINE, SAMPLE_PROCESSES, SAMPLE_REQUEST } from '../../fixtures/timelines.js';
 
-const EVENTS = STORY.events;
+const EVENTS = SAMPLE_TIMELINE.events;
 
 function kindsFor(filter: Parameters<typeof matchesFilter>[0]): EventKind[] {
   return EVENTS.filter((event) => matchesFilter(filter, event)).map(({ kind }) => kind);
 }
 
 describe('the time line', () => {
-  describe('the ring of a process', () => {
-    it('keeps the latest events in order and counts those it lost', () => {
+  describe('the ring buffer of a process', () => {
+    it('keeps the latest events in order and counts the overwritten ones', () => {
       const ring = createEventRing(3);
       for (const event of EVENTS.slice(0, 5)) putEvent(ring, event);
       assert.deepEqual(ringEvents(ring), EVENTS.slice(2, 5));
@@ -40,20 +40,20 @@
   });
 
   describe('filters', () => {
-    it('tell one request’s story by its whole key or its idempotency key', () => {
-      const story = kindsFor({ request: STORY_REQUEST });
-      assert.deepEqual(story, [
+    it('select the events of a request by its whole key or its idempotency key', () => {
+      const requestKinds = kindsFor({ request: SAMPLE_REQUEST });
+      assert.deepEqual(requestKinds, [
         EventKind.RequestAccepted,
         EventKind.RequestDispatched,
         EventKind.RequestRetried,
         EventKind.RequestTakenOver,
         EventKind.RequestAnswered,
       ]);
-      assert.deepEqual(kindsFor({ request: 'finding-7' }), story);
+      assert.deepEqual(kindsFor({ request: 'finding-7' }), requestKinds);
       assert.deepEqual(kindsFor({ request: 'finding-7', workspace: 'other' }), []);
     });
 
-    it('choose by target, service and kind', () => {
+    it('select by target, service and kind', () => {
       assert.deepEqual(kindsFor({ target: 'inspect-1' }), [
         EventKind.RequestDispatched,
         EventKind.EngineCrashed,
@@ -63,7 +63,7 @@
       ]);
     });
 
-    it('answer with the latest events up to the limit and count the rest', () => {
+    it('return the latest events up to the limit and count the rest', () => {
       const { events, omitted } = queryEvents(EVENTS, { limit: 2 });
       assert.deepEqual(events, EVENTS.slice(-2));
       assert.equal(omitted, EVENTS.length - 2);
@@ -76,40 +76,45 @@
   });
 
   describe('merging', () => {
-    it('orders the events of all processes, whatever order they came in', () => {
-      const reversed = mergeTimelines([...STORY_PROCESSES].reverse(), STORY.unreachable);
-      assert.deepEqual(reversed, STORY);
+    it('orders the events of all processes, whatever the order of the answers', () => {
+      const reversed = mergeTimelines([...SAMPLE_PROCESSES].reverse(), SAMPLE_TIMELINE.unreachable);
+      assert.deepEqual(reversed, SAMPLE_TIMELINE);
       for (const [index, event] of EVENTS.entries()) {
         const next = EVENTS[index + 1];
         if (next !== undefined) assert.ok(compareEvents(event, next) < 0);
       }
     });
 
-    it('says what is missing', () => {
-      const processes = STORY_PROCESSES.map((each) => ({ ...each, dropped: 2, omitted: 1 }));
-      const missing = missingFrom(mergeTimelines(processes, STORY.unreachable));
-      assert.equal(missing.length, 1 + 2 * STORY_PROCESSES.length);
+    it('reports what is missing', () => {
+      const processes = SAMPLE_PROCESSES.map((each) => ({ ...each, dropped: 2, omitted: 1 }));
+      const missing = missingFrom(mergeTimelines(processes, SAMPLE_TIMELINE.unreachable));
+      assert.equal(missing.length, 1 + 2 * SAMPLE_PROCESSES.length);
       assert.equal(missing[0], '10.3.0.11:7000 could not be reached: connection refused');
     });
   });
 
   describe('writers', () => {
-    it('text: a line per event, and first what is missing', () => {
-      const lines = timelineText(STORY).trimEnd().split('\n');
+    it('text: the gaps first, then a line per event', () => {
+      const lines = timelineText(SAMPLE_TIMELINE).trimEnd().split('\n');
       assert.match(lines[0] ?? '', /^# 10\.3\.0\.11:7000 could not be reached/);
       assert.equal(lines.length, EVENTS.length + 1);
       const crash = lines.find((line) => line.includes('engine-crashed')) ?? '';
       assert.match(crash, /^06:00:00\.240Z 10\.1\.0\.11:7000 .* target inspect-1 .* running=3$/);
     });
 
-    it('JSON: the whole time line', () => {
-      assert.deepEqual(JSON.parse(timelineJson(STORY)), JSON.parse(JSON.stringify(STORY)));
+    it('JSON: the complete time line', () => {
+      assert.deepEqual(
+        JSON.parse(timelineJson(SAMPLE_TIMELINE)),
+        JSON.parse(JSON.stringify(SAMPLE_TIMELINE)),
+      );
     });
 
     it('Trace Event Format: named processes, instants and a span per request', () => {
-      const { traceEvents } = JSON.parse(timelineTrace(STORY)) as { traceEvents: TraceEvent[] };
+      const { traceEvents } = JSON.parse(timelineTrace(SAMPLE_TIMELINE)) as {
+        traceEvents: TraceEvent[];
+      };
       const phases = traceEvents.map(({ ph }) => ph);
-      assert.equal(phases.filter((ph) => ph === 'M').length, STORY.lanes.length);
+      assert.equal(phases.filter((ph) => ph === 'M').length, SAMPLE_TIMELINE.lanes.length);
       assert.equal(phases.filter((ph) => ph === 'i').length, EVENTS.length);
       const span = traceEvents.filter(({ cat }) => cat === 'request');
       assert.deepEqual(
@@ -122,8 +127,8 @@
       assert.equal((span[1]?.ts ?? 0) - (span[0]?.ts ?? 0), 510_000);
     });
 
-    it('HTML: self-contained, and no value of an event becomes markup', () => {
-      const page = timelinePage(STORY);
+    it('HTML: self-contained, and event values are never markup', () => {
+      const page = timelinePage(SAMPLE_TIMELINE);
       assert.doesNotMatch(page, /https?:\/\//);
       assert.doesNotMatch(page, /<b>"x"/);
       assert.equal(page.match(/<\/script>/g)?.length, 2);
