--- a/packages/coordination/src/core/rate-limits/limit-shares.ts
+++ b/packages/coordination/src/core/rate-limits/limit-shares.ts
@@ -1,56 +1,58 @@
 /**
- * How gateways divide the rate limits of a service's targets without a server that keeps them. Each
- * gateway owns an equal share and lends it, for a moment at a time, to the one gateway that decides
- * for the service, so that all of a limit can be used wherever the demand is. A share is in one
- * place at any time: its owner uses it only while it is not lent, and lends it to nobody else before
- * the loan has ended by itself. So the limit also holds while gateways disagree on who decides, can't
- * reach each other or the store, stand still or start again.
+ * Divides the rate limits of a service's targets between gateways without a central server. Each
+ * gateway owns an equal share and lends it for a short time to the one gateway that decides for the
+ * service, so that the whole limit can be used wherever the demand is. At any time a share is usable
+ * at one gateway only: its owner neither uses it while it is lent nor lends it to a third gateway
+ * before the loan has expired. The limit therefore also holds while gateways disagree on who
+ * decides, can't reach each other or the store, are paused, or restart.
  */
 
-/** How long a share is lent; renewed several times in it. */
+/** Duration of a loan. Borrowers renew a loan several times within it. */
 export const LOAN_MS = 1300;
 
-/** Where a gateway's own share is. */
+/** A loan of the gateway's own share to another gateway. */
 interface Loan {
   readonly borrower: string;
-  /** By the owner's clock: counted from its answer, so not before the borrower's own end. */
+  /** End by the owner's clock, counted from its answer and so never before the borrower's end. */
   readonly untilMs: number;
 }
 
-/** A share that another gateway has lent. */
+/** A share borrowed from another gateway. */
 interface Borrowed {
   readonly fraction: number;
-  /** By the borrower's clock: counted from its question. */
+  /** End by the borrower's clock, counted from when it sent its request. */
   readonly untilMs: number;
 }
 
-/** The shares of one gateway. */
+/** Own and borrowed shares of one gateway. */
 export interface LimitShares {
   /**
-   * Until then the own shares are neither used nor lent. Guards against shares that are in two places:
-   * those of a gateway that has just started may still be lent by its earlier start, and those of one
-   * that leaves are already divided among the others.
+   * Until this time the own shares are neither used nor lent. Prevents a share from being used at two
+   * gateways: the previous incarnation of a gateway that has just started may still have it on loan,
+   * and the shares of a gateway that leaves are already divided among the others.
    */
   withheldUntilMs: number;
-  /** By service. */
+  /** Loans of the own share, by service. */
   readonly loans: Map<string, Loan>;
-  /** By service and the gateway that lends. */
+  /** Borrowed shares, by service and lending gateway. */
   readonly borrowed: Map<string, Map<string, Borrowed>>;
 }
 
-/** The shares of a gateway that starts now. */
+/** Creates the shares of a gateway that starts now. Its own shares are withheld for one loan. */
 export function createLimitShares(nowMs: number): LimitShares {
   return { withheldUntilMs: nowMs + LOAN_MS, loans: new Map(), borrowed: new Map() };
 }
 
-/** The gateway leaves: the others no longer count it. */
+/** Gives up all own shares of a gateway that leaves, as the others no longer count it. */
 export function giveUpShares(shares: LimitShares): void {
   shares.withheldUntilMs = Infinity;
 }
 
 /**
- * Lends the own share of a service's limits; `gateways` is how many there are. Gives the fraction
- * that is lent, 0 while another gateway has it.
+ * Lends the own share of a service's limits to `borrower`. Returns the fraction of the limits that
+ * is lent, which is 0 while the share is withheld or lent to another gateway.
+ *
+ * @param gateways - Number of gateways that divide the limits.
  */
 export function lendShare(
   { loans, withheldUntilMs }: LimitShares,
@@ -60,19 +62,22 @@
   nowMs: number,
 ): number {
   const loan = loans.get(service);
-  const isLentElsewhere = loan !== undefined && loan.untilMs > nowMs && loan.borrower !== borrower;
-  if (isLentElsewhere || nowMs < withheldUntilMs) return 0;
+  const isLentToOther = loan !== undefined && loan.untilMs > nowMs && loan.borrower !== borrower;
+  if (isLentToOther || nowMs < withheldUntilMs) return 0;
   loans.set(service, { borrower, untilMs: nowMs + LOAN_MS });
   return 1 / Math.max(1, gateways);
 }
 
-/** The gateway that has the own share now; null while it is not lent. */
+/** Returns the gateway that currently borrows the own share, or null while it is not lent. */
 export function borrowerOf({ loans }: LimitShares, service: string, nowMs: number): string | null {
   const loan = loans.get(service);
   return loan !== undefined && loan.untilMs > nowMs ? loan.borrower : null;
 }
 
-/** Another gateway lent its share in answer to a question that was sent at `askedAtMs`. */
+/**
+ * Records what another gateway answered to a request for its share, sent at `askedAtMs`. A fraction
+ * of 0 ends an earlier loan.
+ */
 export function noteBorrowed(
   { borrowed }: LimitShares,
   service: string,
@@ -86,15 +91,16 @@
   else lenders.delete(lender);
 }
 
-/** The part of a service's limits that this gateway may use now, from 0 to 1. */
+/** Returns the fraction of a service's limits that this gateway may use now, from 0 to 1. */
 export function usableShare(
   shares: LimitShares,
   service: string,
   gateways: number,
   nowMs: number,
 ): number {
-  const isHere = nowMs >= shares.withheldUntilMs && borrowerOf(shares, service, nowMs) === null;
-  let share = isHere ? 1 / Math.max(1, gateways) : 0;
+  const isOwnUsable =
+    nowMs >= shares.withheldUntilMs && borrowerOf(shares, service, nowMs) === null;
+  let share = isOwnUsable ? 1 / Math.max(1, gateways) : 0;
   const lenders = shares.borrowed.get(service);
   for (const [lender, { fraction, untilMs }] of lenders ?? []) {
     if (untilMs > nowMs) share += fraction;
--- a/packages/coordination/src/core/rate-limits/named-limits.ts
+++ b/packages/coordination/src/core/rate-limits/named-limits.ts
@@ -1,72 +1,75 @@
 /**
- * The rate limits that targets name in their answers, as one gateway knows them. A limit holds for
- * all gateways together, so they tell each other what they heard; the newest answer counts. An
- * answer without a limit ends it, and so does time: a target that nobody asks names nothing.
+ * Tracks the rate limits that targets announce in their answers, as known to one gateway. A limit
+ * applies to all gateways together, so they exchange reports of it, and the newest answer wins. A
+ * limit ends with a later answer that announces none, or expires, since a target that receives no
+ * requests announces nothing.
  */
 
-/** A limit is kept for so long without an answer that names it. */
-const KEEP_MS = 60_000;
-/** How long an end is told to gateways that may still know the limit. */
-const TELL_END_MS = 10_000;
-/** Targets that are remembered; far more than name a limit at once. */
+/** A limit expires after this time without an answer that announces it. */
+const LIMIT_TTL_MS = 60_000;
+/** How long the end of a limit is reported to gateways that may still apply it. */
+const REPORT_END_MS = 10_000;
+/** Bound on tracked targets; far more than announce a limit at once. */
 const MAX_TARGETS = 4096;
-/** A change of a limit by less is not news. */
-const NEWS_RATIO = 0.1;
+/** A limit that changes by no more than this fraction is not reported as a change. */
+const MIN_CHANGE_RATIO = 0.1;
 
-/** What a target was asked for. */
+/** Kind of work that a target was called for. */
 export enum AskedWork {
-  /** To read a prompt for another engine. */
+  /** To prefill a prompt for another engine. */
   Read = 'read',
   /** To answer the request itself. */
   Run = 'run',
 }
 
-/** An answer of a target, and the request that it is to. */
+/** A target's answer, described by the request that it belongs to. */
 export interface TargetAnswer {
-  /** Null where it did not do what it was asked for, and for calls that are no request. */
+  /** Work that was done; null if the target rejected it, and for calls that are not requests. */
   readonly work: AskedWork | null;
+  /** When the request was sent. */
   readonly sentAtMs: number;
-  /** Tells the answer from any other, at all gateways. */
+  /** Id of the answer, unique across all gateways. */
   readonly origin: string;
 }
 
-/** What the newest answer of a target said. */
+/** Rate limit of a target according to its newest answer. */
 export interface NamedLimit {
   readonly service: string;
-  /** Requests a second that it takes from all gateways together; null where it names none. */
+  /** Requests per second accepted from all gateways together; null if there is no limit. */
   readonly perS: number | null;
-  /** The answer that said so; told along, so that no answer counts twice. */
+  /** Id of the answer; part of each report, so that no answer counts twice. */
   readonly origin: string;
-  /** Answers to such work name it; null where it is not known. */
+  /** Kind of work whose answers announce the limit; null if unknown. */
   readonly work: AskedWork | null;
-  readonly heardAtMs: number;
-  /** Since when it has named a limit, whatever the number, or none. */
+  /** When the answer was received, by this gateway's clock. */
+  readonly receivedAtMs: number;
+  /** Start of the current state: limited, with whatever rate, or unlimited. */
   readonly sinceMs: number;
 }
 
-/** The same as it is told to another gateway, whose clock differs. */
+/** A {@link NamedLimit} as reported to another gateway: ages replace times, as clocks differ. */
 export interface LimitReport {
   readonly target: string;
   readonly service: string;
   readonly perS: number | null;
   readonly origin: string;
   readonly work: AskedWork | null;
-  /** Milliseconds since the answer. */
+  /** Time since the answer. */
   readonly ageMs: number;
-  /** Milliseconds since the first answer that named a limit, or none again. */
+  /** Time since the first answer of the current state, limited or unlimited. */
   readonly saidForMs: number;
 }
 
-/** Limits by the target's id; a target that starts again has another one. */
+/** Limits by target id. A target that restarts gets a new id. */
 export type NamedLimits = Map<string, NamedLimit>;
 
-/** The target whose answer is looked at. */
+/** The target that sent an answer. */
 export interface AnsweringTarget {
   readonly id: string;
   readonly service: string;
 }
 
-/** An answer named a limit; gives whether that is news. */
+/** Records an announced limit. Returns whether it differs notably from the one known before. */
 export function noteLimitNamed(
   limits: NamedLimits,
   { id, service }: AnsweringTarget,
@@ -75,21 +78,21 @@
   nowMs: number,
 ): boolean {
   const known = limitOf(limits, id, nowMs);
-  put(limits, id, {
+  storeLimit(limits, id, {
     service,
     perS,
     origin,
     work: work ?? known?.work ?? null,
-    heardAtMs: nowMs,
+    receivedAtMs: nowMs,
     sinceMs: known?.sinceMs ?? nowMs,
   });
-  return isNews(known?.perS ?? null, perS);
+  return isNotableChange(known?.perS ?? null, perS);
 }
 
 /**
- * An answer to a request named no limit; gives whether that ends one. Guards against a limit that
- * ends by an answer which says nothing of it: one that was on its way before the target named its
- * limit, a refusal, or one to other work than that whose answers name it.
+ * Handles an answer that announces no limit. Returns whether it ends a known one. Answers that say
+ * nothing about the limit are ignored: those to requests sent before the target announced its limit,
+ * rejections, and those to another kind of work than the one whose answers announce it.
  */
 export function noteLimitMissing(
   limits: NamedLimits,
@@ -98,33 +101,34 @@
   nowMs: number,
 ): boolean {
   const known = limits.get(id);
-  if (known === undefined || work === null || sentAtMs <= known.heardAtMs) return false;
+  if (known === undefined || work === null || sentAtMs <= known.receivedAtMs) return false;
   if (known.work !== null && known.work !== work) return false;
-  // Each further answer makes the end newer, so that it overtakes what others were told late.
-  const isNewEnd = known.perS !== null;
-  const sinceMs = isNewEnd ? nowMs : known.sinceMs;
-  put(limits, id, { ...known, service, perS: null, origin, heardAtMs: nowMs, sinceMs });
-  return isNewEnd;
+  // Later answers refresh the end, so that it supersedes delayed reports at other gateways.
+  const endsLimit = known.perS !== null;
+  const sinceMs = endsLimit ? nowMs : known.sinceMs;
+  storeLimit(limits, id, { ...known, service, perS: null, origin, receivedAtMs: nowMs, sinceMs });
+  return endsLimit;
 }
 
-/** Takes in what another gateway heard; gives the targets of which it is news. */
+/** Merges reports of another gateway. Returns the targets whose limit changed notably. */
 export function mergeLimits(
   limits: NamedLimits,
   reports: readonly LimitReport[],
   nowMs: number,
 ): readonly string[] {
-  return reports.flatMap(({ target, ageMs, saidForMs, ...said }) => {
-    const { origin } = said;
+  return reports.flatMap(({ target, ageMs, saidForMs, ...rest }) => {
+    const { origin } = rest;
     const known = limits.get(target);
-    const heardAtMs = nowMs - ageMs;
-    if (known !== undefined && (known.origin === origin || known.heardAtMs >= heardAtMs)) return [];
+    const receivedAtMs = nowMs - ageMs;
+    if (known !== undefined && (known.origin === origin || known.receivedAtMs >= receivedAtMs))
+      return [];
     const before = limitOf(limits, target, nowMs)?.perS ?? null;
-    put(limits, target, { ...said, heardAtMs, sinceMs: nowMs - saidForMs });
-    return isNews(before, limitOf(limits, target, nowMs)?.perS ?? null) ? [target] : [];
+    storeLimit(limits, target, { ...rest, receivedAtMs, sinceMs: nowMs - saidForMs });
+    return isNotableChange(before, limitOf(limits, target, nowMs)?.perS ?? null) ? [target] : [];
   });
 }
 
-/** The limit that a target names now; null where it names none. */
+/** Returns the limit that applies to a target now, or null if there is none. */
 export function limitOf(
   limits: NamedLimits,
   target: string,
@@ -132,48 +136,48 @@
 ): (NamedLimit & { readonly perS: number }) | null {
   const known = limits.get(target);
   if (known === undefined || known.perS === null) return null;
-  return nowMs - known.heardAtMs < KEEP_MS ? { ...known, perS: known.perS } : null;
+  return nowMs - known.receivedAtMs < LIMIT_TTL_MS ? { ...known, perS: known.perS } : null;
 }
 
-/** What other gateways are to know of a service's targets. */
+/** Returns what to report to other gateways about the targets of a service. */
 export function limitReports(
   limits: NamedLimits,
   service: string,
   nowMs: number,
 ): readonly LimitReport[] {
   return [...limits].flatMap(([target, known]) => {
-    if (known.service !== service || !isTold(known, nowMs)) return [];
-    const { heardAtMs, sinceMs, ...said } = known;
-    return [{ target, ...said, ageMs: nowMs - heardAtMs, saidForMs: nowMs - sinceMs }];
+    if (known.service !== service || !isReported(known, nowMs)) return [];
+    const { receivedAtMs, sinceMs, ...rest } = known;
+    return [{ target, ...rest, ageMs: nowMs - receivedAtMs, saidForMs: nowMs - sinceMs }];
   });
 }
 
-/** Services of which other gateways are to know something. */
+/** Returns the services with limits, or recent ends of limits, to report to other gateways. */
 export function servicesWithLimits(limits: NamedLimits, nowMs: number): readonly string[] {
-  const told = [...limits.values()].filter((known) => isTold(known, nowMs));
-  return [...new Set(told.map(({ service }) => service))];
+  const reported = [...limits.values()].filter((known) => isReported(known, nowMs));
+  return [...new Set(reported.map(({ service }) => service))];
 }
 
-/** Forgets what is no longer told to anybody; gives the targets whose limit lapsed. */
+/** Removes entries that are no longer reported. Returns the targets whose limit expired. */
 export function dropOldLimits(limits: NamedLimits, nowMs: number): readonly string[] {
   return [...limits].flatMap(([target, known]) => {
-    if (isTold(known, nowMs)) return [];
+    if (isReported(known, nowMs)) return [];
     limits.delete(target);
     return known.perS === null ? [] : [target];
   });
 }
 
-function isTold({ perS, heardAtMs, sinceMs }: NamedLimit, nowMs: number): boolean {
-  return perS === null ? nowMs - sinceMs < TELL_END_MS : nowMs - heardAtMs < KEEP_MS;
+function isReported({ perS, receivedAtMs, sinceMs }: NamedLimit, nowMs: number): boolean {
+  return perS === null ? nowMs - sinceMs < REPORT_END_MS : nowMs - receivedAtMs < LIMIT_TTL_MS;
 }
 
-function isNews(before: number | null, after: number | null): boolean {
+function isNotableChange(before: number | null, after: number | null): boolean {
   if (before === null || after === null) return before !== after;
-  return Math.abs(after - before) > before * NEWS_RATIO;
+  return Math.abs(after - before) > before * MIN_CHANGE_RATIO;
 }
 
-function put(limits: NamedLimits, target: string, limit: NamedLimit): void {
-  // Moved to the end, so that the target that was not heard of for longest stands first.
+function storeLimit(limits: NamedLimits, target: string, limit: NamedLimit): void {
+  // Reinserts the target at the end, so that the least recently updated target comes first.
   limits.delete(target);
   limits.set(target, limit);
   const oldest = limits.keys().next().value;
--- a/packages/coordination/src/core/rate-limits/rate-limiter.ts
+++ b/packages/coordination/src/core/rate-limits/rate-limiter.ts
@@ -1,8 +1,8 @@
 /**
- * Whether a request may be sent to a target that names a rate limit, and when a caller may come back
- * where none may: the limits that are known, the share of them that is here, and a token bucket for
- * each target. The load patterns: a target in need beside others with room, all targets of a service
- * in need, and demand that comes through one gateway alone.
+ * Decides whether a request may be sent to a target that announces a rate limit, and when a rejected
+ * caller should retry. It combines the known limits, this gateway's share of them, and a token bucket
+ * per target. It is built for three load patterns: one target at its limit beside others with spare
+ * capacity, all targets of a service at their limits, and demand that arrives through one gateway.
  */
 import type { Random } from '../random/random.js';
 import { type LimitShares, createLimitShares, usableShare } from './limit-shares.js';
@@ -16,33 +16,36 @@
   tokenInMs,
 } from './token-bucket.js';
 
-/** Permits of so many seconds gather while nobody uses them. */
+/** Burst capacity of a bucket, as seconds of its refill rate. */
 const BURST_S = 0.5;
-/** Permits that gather where all of a limit is here, however low it is. */
+/** Minimum burst capacity, in tokens, of a gateway that may use a whole limit. */
 const MIN_BURST = 2;
-/** A target that takes nothing is asked so seldom all the same: only an answer ends its limit. */
+/** Lowest rate, used even if a target announces 0, because only an answer can end its limit. */
 const MIN_PER_S = 0.2;
-/** Callers are asked back within this time at the latest. */
-const MAX_ASK_BACK_MS = 10_000;
-/** How long after permits were used up a limit counts as binding. */
+/** Longest delay after which a rejected caller is told to retry. */
+const MAX_RETRY_AFTER_MS = 10_000;
+/** How long a limit counts as binding after a request found no token. */
 const BINDING_MS = 5000;
 const MS_PER_S = 1000;
 
-/** Gives out permits to send to targets. Permits of targets that name no limit never run out. */
+/** Grants permits to send requests to targets. Targets without a limit always have permits. */
 export interface Permits {
-  /** Whether a request may be sent now. */
+  /** Returns whether a request may be sent now. */
   readonly has: (target: string) => boolean;
-  /** A request is going to be sent. */
+  /** Consumes a permit for a request that is about to be sent. */
   readonly take: (target: string) => void;
-  /** Milliseconds until a request may be sent, 0 where one may. */
+  /** Returns the time in milliseconds until a request may be sent; 0 if one may be sent now. */
   readonly availableInMs: (target: string) => number;
-  /** Whether requests had to go elsewhere lately since a target's permits were used up. */
+  /** Returns whether requests recently had to use other targets for lack of permits. */
   readonly isBinding: (target: string) => boolean;
-  /** When a caller may come back whom none of these targets can take; each call takes a turn. */
+  /**
+   * Returns the delay in milliseconds after which a caller that none of these targets can serve
+   * should retry. Each call reserves a retry slot.
+   */
   readonly askBackInMs: (targets: readonly string[]) => number;
 }
 
-/** Permits where no target names a limit. */
+/** Permits for the case that no target has a limit. */
 export const UNLIMITED: Permits = {
   has: () => true,
   take: () => undefined,
@@ -51,17 +54,17 @@
   askBackInMs: () => 0,
 };
 
-/** The limiter of one gateway. */
+/** State of the rate limiter of one gateway. */
 export interface RateLimiter {
   readonly limits: NamedLimits;
   readonly shares: LimitShares;
   readonly buckets: Map<string, TokenBucket>;
-  /** The last turn that was given to a refused caller, by service. */
+  /** Time of the last retry slot given to a rejected caller, by service. */
   readonly askedBackAtMs: Map<string, number>;
   readonly random: Random;
 }
 
-/** The limiter of a gateway that starts now, and knows of no limit. */
+/** Creates the limiter of a gateway that starts now and knows no limits yet. */
 export function createRateLimiter(random: Random, nowMs: number): RateLimiter {
   return {
     limits: new Map(),
@@ -72,7 +75,11 @@
   };
 }
 
-/** The permits that a limiter gives; `gateways` counts those that share the limits. */
+/**
+ * Returns the permits granted by a limiter.
+ *
+ * @param gateways - Returns the number of gateways that share the limits.
+ */
 export function permitsOf(
   limiter: RateLimiter,
   gateways: () => number,
@@ -105,13 +112,13 @@
     },
     availableInMs,
     askBackInMs: (targets) => {
-      const soonestMs = Math.min(MAX_ASK_BACK_MS, ...targets.map(availableInMs));
+      const soonestMs = Math.min(MAX_RETRY_AFTER_MS, ...targets.map(availableInMs));
       return askBackInMs(limiter, targets, soonestMs, nowMs());
     },
   };
 }
 
-/** Requests a second that may be sent from here to a target; null where it names no limit. */
+/** Returns the rate at which this gateway may send to a target, or null if it has no limit. */
 export function usableRate(
   limiter: RateLimiter,
   target: string,
@@ -130,8 +137,9 @@
 }
 
 /**
- * Gives refused callers turns, as fast as targets take requests. Guards against callers who all come
- * back at the same moment: it shows as one served and the others refused again.
+ * Reserves a retry slot for a rejected caller and returns the delay until it. Slots are spaced at the
+ * combined rate of the targets. Without this, rejected callers would all retry at the same moment,
+ * and all but one of them would be rejected again.
  */
 export function askBackInMs(
   limiter: RateLimiter,
@@ -143,20 +151,20 @@
   const service = known[0]?.service;
   if (service === undefined) return soonestMs;
   const perS = known.reduce((sum, limit) => sum + Math.max(MIN_PER_S, limit.perS), 0);
-  const afterLastMs = (limiter.askedBackAtMs.get(service) ?? -Infinity) + MS_PER_S / perS;
-  const turnAtMs = Math.min(nowMs + MAX_ASK_BACK_MS, Math.max(nowMs + soonestMs, afterLastMs));
-  limiter.askedBackAtMs.set(service, turnAtMs);
-  return turnAtMs - nowMs;
+  const nextSlotMs = (limiter.askedBackAtMs.get(service) ?? -Infinity) + MS_PER_S / perS;
+  const retryAtMs = Math.min(nowMs + MAX_RETRY_AFTER_MS, Math.max(nowMs + soonestMs, nextSlotMs));
+  limiter.askedBackAtMs.set(service, retryAtMs);
+  return retryAtMs - nowMs;
 }
 
 /**
- * A new bucket is filled by chance: gateways that can't reach each other would otherwise all send
- * their first request at the same moment.
+ * Returns a target's bucket, creating it if needed. A new bucket starts with a random fill level:
+ * otherwise gateways that can't reach each other would all send their first request together.
  */
 function bucketOf({ buckets, random }: RateLimiter, target: string, nowMs: number): TokenBucket {
   const known = buckets.get(target);
   if (known !== undefined) return known;
-  const made = createTokenBucket(random(), nowMs);
-  buckets.set(target, made);
-  return made;
+  const created = createTokenBucket(random(), nowMs);
+  buckets.set(target, created);
+  return created;
 }
--- a/packages/coordination/src/core/rate-limits/token-bucket.ts
+++ b/packages/coordination/src/core/rate-limits/token-bucket.ts
@@ -1,17 +1,18 @@
 /**
- * A token bucket: permits come at a rate and gather up to a capacity. The rate may change at any
- * time, since it follows what a target names and the share of it that is here.
+ * A token bucket whose rate and capacity are passed to each call. They may change at any time, as
+ * they follow the limit that a target announces and the share of it that this gateway may use.
  */
 
-/** One bucket. */
+/** State of one bucket. */
 export interface TokenBucket {
+  /** Available tokens; fractional, and negative after tokens were taken in advance. */
   tokens: number;
   refilledAtMs: number;
-  /** When a permit was last asked for and not there. */
+  /** When {@link hasToken} last found no token; -Infinity if never. */
   emptyAtMs: number;
 }
 
-/** How permits come and gather. */
+/** Refill rate and capacity of a bucket, in tokens. */
 export interface RefillRate {
   readonly perS: number;
   readonly capacity: number;
@@ -19,12 +20,12 @@
 
 const MS_PER_S = 1000;
 
-/** Makes a bucket with some tokens in it. */
+/** Creates a bucket that holds `tokens`. */
 export function createTokenBucket(tokens: number, nowMs: number): TokenBucket {
   return { tokens, refilledAtMs: nowMs, emptyAtMs: -Infinity };
 }
 
-/** Whether a permit is there. */
+/** Returns whether a token is available, and records in `emptyAtMs` if not. */
 export function hasToken(bucket: TokenBucket, rate: RefillRate, nowMs: number): boolean {
   refill(bucket, rate, nowMs);
   if (bucket.tokens >= 1) return true;
@@ -32,17 +33,17 @@
   return false;
 }
 
-/** Takes a permit, also one that is not there yet: then more time passes before the next one. */
+/** Takes a token. If none is available, the balance goes negative and delays the next one. */
 export function takeToken(bucket: TokenBucket, rate: RefillRate, nowMs: number): void {
   refill(bucket, rate, nowMs);
   bucket.tokens -= 1;
 }
 
-/** Milliseconds until a permit is there, 0 where one is; Infinity where none will come. */
+/** Returns the time until a token is available: 0 if one is, Infinity if the rate is 0. */
 export function tokenInMs(bucket: TokenBucket, rate: RefillRate, nowMs: number): number {
   refill(bucket, rate, nowMs);
-  const missing = Math.max(0, 1 - bucket.tokens);
-  return missing === 0 ? 0 : (missing / rate.perS) * MS_PER_S;
+  const missingTokens = Math.max(0, 1 - bucket.tokens);
+  return missingTokens === 0 ? 0 : (missingTokens / rate.perS) * MS_PER_S;
 }
 
 function refill(bucket: TokenBucket, { perS, capacity }: RefillRate, nowMs: number): void {
--- a/packages/coordination/test/core/rate-limits/limit-shares.test.ts
+++ b/packages/coordination/test/core/rate-limits/limit-shares.test.ts
@@ -1,4 +1,4 @@
-/** Shares of rate limits that gateways lend each other. */
+/** Tests the shares of rate limits that gateways lend to each other. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
@@ -14,56 +14,57 @@
 
 const SERVICE = 's';
 const GATEWAYS = 4;
-/** Rounding of sums. */
+/** Tolerance for rounding errors in sums of fractions. */
 const EPSILON = 1e-9;
 
-/** A gateway with a clock of its own that may stand still. */
+/** A gateway whose clock is ahead of the test's time. */
 interface Gateway {
   readonly shares: LimitShares;
   readonly clockLeadMs: number;
 }
 
-/** Things that happen, in order: one asks another for its share, the answer comes late or never. */
-interface Question {
+/** A request of one gateway for another's share. The answer may be delayed or lost. */
+interface ShareRequest {
   readonly borrower: number;
   readonly lender: number;
+  /** Time since the previous request was sent. */
   readonly pauseMs: number;
-  readonly thereMs: number;
-  readonly backMs: number;
+  readonly requestDelayMs: number;
+  readonly answerDelayMs: number;
   readonly isLost: boolean;
 }
 
-const QUESTION = fc.record({
+const SHARE_REQUEST = fc.record({
   borrower: fc.nat(GATEWAYS - 1),
   lender: fc.nat(GATEWAYS - 1),
   pauseMs: fc.nat(LOAN_MS),
-  thereMs: fc.nat(2 * LOAN_MS),
-  backMs: fc.nat(2 * LOAN_MS),
+  requestDelayMs: fc.nat(2 * LOAN_MS),
+  answerDelayMs: fc.nat(2 * LOAN_MS),
   isLost: fc.boolean(),
 });
 
-/** The largest sum of shares at any moment while these questions cross. */
-function largestSum(questions: readonly Question[], leadsMs: readonly number[]): number {
+/** Returns the largest sum of usable shares at any moment while these requests overlap. */
+function largestSum(requests: readonly ShareRequest[], leadsMs: readonly number[]): number {
   const gateways = leadsMs.map((clockLeadMs) => ({
     shares: createLimitShares(clockLeadMs),
     clockLeadMs,
   }));
   const due: { readonly atMs: number; readonly run: () => void }[] = [];
-  let askedAtMs = 0;
-  for (const { borrower, lender, pauseMs, thereMs, backMs, isLost } of questions) {
-    askedAtMs += pauseMs;
+  let sentAtMs = 0;
+  for (const { borrower, lender, pauseMs, requestDelayMs, answerDelayMs, isLost } of requests) {
+    sentAtMs += pauseMs;
     const [from, to] = [gateways[borrower], gateways[lender]];
     if (from === undefined || to === undefined || from === to) continue;
-    const asked = askedAtMs + from.clockLeadMs;
-    const arrivesAtMs = askedAtMs + thereMs;
+    const sentAtBorrowerMs = sentAtMs + from.clockLeadMs;
+    const arrivesAtMs = sentAtMs + requestDelayMs;
     const lend = (): void => {
       const nowMs = arrivesAtMs + to.clockLeadMs;
       const fraction = lendShare(to.shares, SERVICE, String(borrower), GATEWAYS, nowMs);
       if (isLost) return;
       due.push({
-        atMs: arrivesAtMs + backMs,
+        atMs: arrivesAtMs + answerDelayMs,
         run: () => {
-          noteBorrowed(from.shares, SERVICE, String(lender), fraction, asked);
+          noteBorrowed(from.shares, SERVICE, String(lender), fraction, sentAtBorrowerMs);
         },
       });
     };
@@ -89,40 +90,40 @@
 }
 
 describe('shares of a rate limit', () => {
-  // Guards against a limit that is used twice while gateways disagree on who decides.
-  it('never add up to more than the limit, whoever asks whom, however late and lost', () => {
+  // Prevents a limit from being used twice while gateways disagree on who decides for the service.
+  it('never add up to more than the limit, with any delays and losses', () => {
     const leads = fc.array(fc.nat(1e6), { minLength: GATEWAYS, maxLength: GATEWAYS });
     fc.assert(
-      fc.property(fc.array(QUESTION, { maxLength: 40 }), leads, (questions, leadsMs) => {
-        assert.ok(largestSum(questions, leadsMs) <= 1 + EPSILON);
+      fc.property(fc.array(SHARE_REQUEST, { maxLength: 40 }), leads, (requests, leadsMs) => {
+        assert.ok(largestSum(requests, leadsMs) <= 1 + EPSILON);
       }),
       { seed: 1, numRuns: 500 },
     );
   });
 
-  // Guards against a limit of which only one gateway's part is used while all demand is there.
-  it('are all with the gateway that decides, where all lend', () => {
+  // Without loans, a gateway that receives all the demand could use only its own part of the limit.
+  it('are all usable at the deciding gateway when every other gateway lends to it', () => {
     const shares = createLimitShares(-LOAN_MS);
     for (const lender of ['b', 'c', 'd']) noteBorrowed(shares, SERVICE, lender, 1 / GATEWAYS, 0);
     assert.equal(usableShare(shares, SERVICE, GATEWAYS, 100), 1);
   });
 
-  it('go back to their owners when a loan is not renewed', () => {
+  it('return to their owner when a loan is not renewed', () => {
     const shares = createLimitShares(-LOAN_MS);
     lendShare(shares, SERVICE, 'b', GATEWAYS, 0);
     assert.equal(usableShare(shares, SERVICE, GATEWAYS, LOAN_MS - 1), 0);
     assert.equal(usableShare(shares, SERVICE, GATEWAYS, LOAN_MS), 1 / GATEWAYS);
   });
 
-  // Guards against a gateway that starts again while its share is still lent.
-  it('are used and lent only when loans of an earlier start have ended', () => {
+  // A share may still be on loan when its owner restarts.
+  it('are withheld until loans of an earlier incarnation have expired', () => {
     const shares = createLimitShares(0);
     assert.equal(usableShare(shares, SERVICE, GATEWAYS, LOAN_MS - 1), 0);
     assert.equal(lendShare(shares, SERVICE, 'b', GATEWAYS, LOAN_MS - 1), 0);
     assert.equal(usableShare(shares, SERVICE, GATEWAYS, LOAN_MS), 1 / GATEWAYS);
   });
 
-  // Guards against a gateway that leaves and uses what the others have divided among them.
+  // The other gateways have already divided the shares of a gateway that leaves.
   it('are neither used nor lent by a gateway that leaves', () => {
     const shares = createLimitShares(-LOAN_MS);
     giveUpShares(shares);
--- a/packages/coordination/test/core/rate-limits/named-limits.test.ts
+++ b/packages/coordination/test/core/rate-limits/named-limits.test.ts
@@ -1,4 +1,4 @@
-/** Rate limits that targets name: who knows of them, and when they end. */
+/** Tests how gateways learn, share and end the rate limits that targets announce. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import {
@@ -14,7 +14,7 @@
 } from '../../../src/index.js';
 
 const TARGET = { id: 't', service: 's' };
-/** Longer than a limit is kept without an answer that names it. */
+/** Longer than a limit is kept without an answer that announces it. */
 const LONG_MS = 120_000;
 
 let answers = 0;
@@ -33,16 +33,16 @@
 const perS = (limits: NamedLimits, nowMs: number): number | undefined =>
   limitOf(limits, TARGET.id, nowMs)?.perS;
 
-describe('a limit that a target names', () => {
+describe('a limit that a target announces', () => {
   describe('ends', () => {
-    it('with an answer to a later request that names none', () => {
+    it('with an answer to a later request that announces none', () => {
       const limits = limitedAt(1000);
       assert.equal(noteLimitMissing(limits, TARGET, answer(1100), 1200), true);
       assert.equal(perS(limits, 1200), undefined);
     });
 
-    // Guards against a target that keeps a limit for ever since nobody asks it any more.
-    it('when no answer has named it for long', () => {
+    // Otherwise a target that receives no more requests would keep its limit forever.
+    it('when no answer has announced it for a long time', () => {
       const limits = limitedAt(1000);
       assert.equal(perS(limits, 1000 + LONG_MS), undefined);
       assert.deepEqual(dropOldLimits(limits, 1000 + LONG_MS), [TARGET.id]);
@@ -50,57 +50,57 @@
     });
   });
 
-  describe('stands', () => {
-    // Guards against an answer that was on its way when the target first named its limit.
-    it('when an answer to an earlier request names none', () => {
+  describe('stays', () => {
+    // Such an answer may have been in transit when the target first announced its limit.
+    it('when an answer to an earlier request announces none', () => {
       const limits = limitedAt(1000);
       assert.equal(noteLimitMissing(limits, TARGET, answer(990), 1200), false);
       assert.equal(perS(limits, 1200), 3);
     });
 
-    it('when a refusal, or a call that is no request, names none', () => {
+    it('when a rejection, or a call that is not a request, announces none', () => {
       const limits = limitedAt(1000);
       noteLimitMissing(limits, TARGET, answer(1100, null), 1200);
       assert.equal(perS(limits, 1200), 3);
     });
 
-    // Guards against a target whose answers to one kind of work alone name its limit.
-    it('when an answer to other work names none', () => {
+    // A target may announce its limit only in answers to one kind of work.
+    it('when an answer to another kind of work announces none', () => {
       const limits = limitedAt(1000, AskedWork.Run);
       noteLimitMissing(limits, TARGET, answer(1100, AskedWork.Read), 1200);
       assert.equal(perS(limits, 1200), 3);
     });
   });
 
-  describe('is told to other gateways', () => {
-    it('with its age, whatever their clocks say', () => {
-      const told = limitReports(limitedAt(1000), TARGET.service, 3000);
+  describe('is reported to other gateways', () => {
+    it('with its age, independent of their clocks', () => {
+      const reports = limitReports(limitedAt(1000), TARGET.service, 3000);
       const other: NamedLimits = new Map();
-      assert.deepEqual(mergeLimits(other, told, 500_000), [TARGET.id]);
-      assert.equal(limitOf(other, TARGET.id, 500_000)?.heardAtMs, 498_000);
+      assert.deepEqual(mergeLimits(other, reports, 500_000), [TARGET.id]);
+      assert.equal(limitOf(other, TARGET.id, 500_000)?.receivedAtMs, 498_000);
     });
 
-    it('as ended, so that nobody brings it back', () => {
-      const here = limitedAt(1000);
-      const there: NamedLimits = new Map();
-      mergeLimits(there, limitReports(here, TARGET.service, 1000), 1000);
-      noteLimitMissing(here, TARGET, answer(1100), 1200);
-      mergeLimits(here, limitReports(there, TARGET.service, 1300), 1300);
-      assert.equal(perS(here, 1300), undefined);
-      mergeLimits(there, limitReports(here, TARGET.service, 1300), 1300);
-      assert.equal(perS(there, 1300), undefined);
+    it('as ended, so that late reports do not restore it', () => {
+      const local = limitedAt(1000);
+      const remote: NamedLimits = new Map();
+      mergeLimits(remote, limitReports(local, TARGET.service, 1000), 1000);
+      noteLimitMissing(local, TARGET, answer(1100), 1200);
+      mergeLimits(local, limitReports(remote, TARGET.service, 1300), 1300);
+      assert.equal(perS(local, 1300), undefined);
+      mergeLimits(remote, limitReports(local, TARGET.service, 1300), 1300);
+      assert.equal(perS(remote, 1300), undefined);
     });
 
-    // Guards against gateways that keep a limit alive by telling it to each other.
-    it('without growing younger on its way there and back', () => {
-      const here = limitedAt(1000);
-      const there: NamedLimits = new Map();
+    // Otherwise gateways would keep a limit alive by reporting it to each other.
+    it('without a reset of its age on the way there and back', () => {
+      const local = limitedAt(1000);
+      const remote: NamedLimits = new Map();
       for (let nowMs = 1000; nowMs < LONG_MS; nowMs += 500) {
-        mergeLimits(there, limitReports(here, TARGET.service, nowMs), nowMs + 200);
-        mergeLimits(here, limitReports(there, TARGET.service, nowMs + 200), nowMs + 400);
+        mergeLimits(remote, limitReports(local, TARGET.service, nowMs), nowMs + 200);
+        mergeLimits(local, limitReports(remote, TARGET.service, nowMs + 200), nowMs + 400);
       }
-      assert.equal(perS(here, LONG_MS), undefined);
-      assert.equal(perS(there, LONG_MS), undefined);
+      assert.equal(perS(local, LONG_MS), undefined);
+      assert.equal(perS(remote, LONG_MS), undefined);
     });
   });
 });
