--- a/packages/coordination/src/core/poison/client-types.ts
+++ b/packages/coordination/src/core/poison/client-types.ts
@@ -1,5 +1,6 @@
 /**
- * Types of the work on the ledger.
+ * Types of the poison client: the operations on the crash ledger, the events that the client handles
+ * and the effects that it returns.
  */
 import type {
   RevisionCompare,
@@ -13,29 +14,33 @@
 import type { LoneProbe } from '../records/messages.js';
 import type { IsConvicted, LoneRun } from './ledger.js';
 
-/** Bounds and guards. */
+/** Limits and decision functions of the poison client. */
 export interface PoisonOptions {
   readonly maxOperations: number;
+  /** Average delay before a failed read or transaction is retried. */
   readonly retryMs: number;
-  /** Time for which a crash is reported again and again through an outage. */
+  /** How long a crash report is retried through an outage before it is dropped. */
   readonly reportForMs: number;
-  /** What a suspect waits before it asks again. */
+  /** Delay after which a suspect that got no lone run should request one again. */
   readonly laterMs: number;
   readonly isConvicted: IsConvicted;
   readonly mayBegin: MayBegin;
 }
 
-/** Decides from the lone run that is written whether another one may begin. */
-export type MayBegin = (standing: LoneRun | null, attemptId: string) => boolean;
+/** Decides from the stored lone run of a service whether the lone run of an attempt may begin. */
+export type MayBegin = (storedLoneRun: LoneRun | null, attemptId: string) => boolean;
 
-/** Kinds of work. */
+/** Kinds of operations on the ledger. */
 export enum PoisonWorkKind {
+  /** Adds a crash to the ledger. */
   ReportCrash = 'report-crash',
+  /** Requests the lone run of a service for a suspect. */
   AskLoneRun = 'ask-lone-run',
+  /** Records how a lone run ended, and removes it. */
   Settle = 'settle',
 }
 
-/** One piece of work. */
+/** An operation on the ledger, as requested. */
 export type PoisonWork =
   | {
       readonly kind: PoisonWorkKind.ReportCrash;
@@ -49,7 +54,7 @@
       readonly bodyHash: string;
       readonly attemptId: string;
       readonly place: Place;
-      /** Incarnation of the place's sidecar, as membership has it. */
+      /** Incarnation of the sidecar in `place`, according to membership. */
       readonly sidecarIncarnation: string;
     }
   | {
@@ -60,35 +65,37 @@
       readonly end: LoneRunEnd;
     };
 
-/** Work under way. */
+/** A pending operation. */
 export interface Operation {
   readonly id: string;
   readonly work: PoisonWork;
   readonly startedAtMs: number;
+  /** Ledger entry of the content, as last read. */
   ledger: StoredValue | null;
+  /** Lone run of the service, as last read. */
   lone: StoredValue | null;
-  /** Set once the standing lone run is known to be over: it may be replaced at its revision. */
+  /** True once the stored lone run is known to be over: it may be replaced at its revision. */
   mayReplace: boolean;
   retryAtMs: number | null;
 }
 
-/** All work under way, by its id. */
+/** State of the poison client: its pending operations, by id. */
 export interface PoisonState {
   readonly operations: Map<string, Operation>;
 }
 
-/** What the machine is told. */
+/** Kinds of events that the client handles. */
 export enum PoisonEventKind {
   Asked = 'asked',
   Read = 'read',
   Transacted = 'transacted',
-  /** A read or transaction without an answer. */
+  /** A read or transaction got no answer. */
   CallFailed = 'call-failed',
   Probed = 'probed',
   Tick = 'tick',
 }
 
-/** One thing that the machine is told. */
+/** An event that the client handles. */
 export type PoisonEvent =
   | { readonly kind: PoisonEventKind.Asked; readonly id: string; readonly work: PoisonWork }
   | {
@@ -106,18 +113,19 @@
   | { readonly kind: PoisonEventKind.Probed; readonly id: string; readonly probe: LoneProbe }
   | { readonly kind: PoisonEventKind.Tick };
 
-/** What the machine asks to be done. */
+/** Kinds of effects that the client requests. */
 export enum PoisonEffectKind {
-  /** Read both keys; comes back in one `Read`. */
+  /** Read both keys; the result is delivered as one `Read` event. */
   Read = 'read',
   Transact = 'transact',
+  /** Ask the sidecar of a lone run for its status. */
   Probe = 'probe',
   LoneRunReplied = 'lone-run-replied',
-  /** Tell every sidecar and entry of the service, at once and without the key-value service. */
+  /** Notify every sidecar and entry of the service immediately, without the key-value service. */
   Announce = 'announce',
 }
 
-/** One thing to be done. */
+/** An effect for the caller to perform. */
 export type PoisonEffect =
   | {
       readonly kind: PoisonEffectKind.Read;
@@ -137,7 +145,7 @@
       readonly id: string;
       readonly outcome: LoneRunOutcome;
       readonly place: Place | null;
-      /** Incarnation of the place's sidecar that the lone run is written for. */
+      /** Incarnation of the sidecar that the lone run is stored for. */
       readonly sidecarIncarnation: string;
       readonly crashes: number;
       readonly retryAfterMs: number;
@@ -146,11 +154,11 @@
       readonly kind: PoisonEffectKind.Announce;
       readonly service: string;
       readonly bodyHash: string;
-      /** Crashed attempts; none when the content is cleared. */
+      /** Attempts that crashed; empty when the content is cleared of suspicion. */
       readonly crashedAttemptIds: readonly string[];
     };
 
-/** What varies from call to call. */
+/** Inputs of one call to the client. */
 export interface PoisonContext {
   readonly nowMs: number;
   readonly random: Random;
--- a/packages/coordination/src/core/poison/client.ts
+++ b/packages/coordination/src/core/poison/client.ts
@@ -1,8 +1,9 @@
 /**
- * Work on the ledger: reporting crashes, asking for a lone run, settling one. Each is a small loop
- * of reads and compare-and-swap writes that is tried again after failures, so that an outage only
- * delays it; a suspect does not run meanwhile. The lone run has no lease: it ends when it is
- * settled, or when its sidecar, asked, says that it is over or will never begin, or is dead.
+ * Performs operations on the crash ledger: reports crashes, and requests and settles lone runs. Each
+ * operation is a loop of reads and compare-and-swap writes. An outage of the key-value service only
+ * delays crash reports and settlements, as they are retried; a suspect does not run meanwhile. A
+ * lone run has no lease: it ends when it is settled, or when a probe of its sidecar shows that the
+ * run is over or will never begin, or that the sidecar is dead.
  */
 import type { RevisionCompare, StoredValue, StoredWrite } from '../claims/key-value.js';
 import { LoneRunEnd, LoneRunOutcome } from '../records/drive-types.js';
@@ -29,41 +30,41 @@
 import type { LoneRun } from './ledger.js';
 
 /**
- * Guards a service against losing two targets at once. Failure: two suspects run at the same time
- * on two targets, and both crash; it shows as half of a small service gone. The guard holds because
- * there is one lone run per service, written before it begins.
+ * Allows one lone run per service, which is stored before it begins. Otherwise two suspects could
+ * run at the same time and crash two targets at once, which can be half of a small service.
  */
-export const mayBegin: MayBegin = (standing, attemptId) =>
-  standing === null || standing.attemptId === attemptId;
+export const mayBegin: MayBegin = (storedLoneRun, attemptId) =>
+  storedLoneRun === null || storedLoneRun.attemptId === attemptId;
 
+/** Handling of one event: collects its effects. */
 interface Turn {
   readonly state: PoisonState;
   readonly context: PoisonContext;
   readonly out: PoisonEffect[];
 }
 
-/** No work. */
+/** Creates a client without pending operations. */
 export function createPoisonClient(): PoisonState {
   return { operations: new Map() };
 }
 
-/** Takes one event and returns what is to be done. */
+/** Handles one event and returns the effects to perform. */
 export function handlePoisonEvent(
   state: PoisonState,
   event: PoisonEvent,
   context: PoisonContext,
 ): readonly PoisonEffect[] {
   const turn: Turn = { state, context, out: [] };
-  if (event.kind === PoisonEventKind.Asked) begin(turn, event.id, event.work);
+  if (event.kind === PoisonEventKind.Asked) startOperation(turn, event.id, event.work);
   else if (event.kind === PoisonEventKind.Tick) tick(turn);
   else {
     const operation = state.operations.get(event.id);
-    if (operation !== undefined) proceed(turn, operation, event);
+    if (operation !== undefined) handleStep(turn, operation, event);
   }
   return turn.out;
 }
 
-function begin(turn: Turn, id: string, work: PoisonWork): void {
+function startOperation(turn: Turn, id: string, work: PoisonWork): void {
   const { state, context } = turn;
   if (state.operations.has(id)) return;
   const operation: Operation = {
@@ -86,7 +87,7 @@
 
 type StepEvent = Exclude<PoisonEvent, { kind: PoisonEventKind.Asked | PoisonEventKind.Tick }>;
 
-function proceed(turn: Turn, operation: Operation, event: StepEvent): void {
+function handleStep(turn: Turn, operation: Operation, event: StepEvent): void {
   switch (event.kind) {
     case PoisonEventKind.Read:
       operation.ledger = event.ledger;
@@ -94,14 +95,14 @@
       act(turn, operation);
       return;
     case PoisonEventKind.Transacted:
-      if (event.outcome.succeeded) succeed(turn, operation);
+      if (event.outcome.succeeded) completeOperation(turn, operation);
       else read(turn, operation);
       return;
     case PoisonEventKind.CallFailed:
       retryOrGiveUp(turn, operation);
       return;
     case PoisonEventKind.Probed:
-      onProbe(turn, operation, event.probe);
+      handleProbe(turn, operation, event.probe);
   }
 }
 
@@ -119,7 +120,7 @@
 function act(turn: Turn, operation: Operation): void {
   switch (operation.work.kind) {
     case PoisonWorkKind.ReportCrash:
-      report(turn, operation);
+      writeCrash(turn, operation);
       return;
     case PoisonWorkKind.AskLoneRun:
       claimLoneRun(turn, operation);
@@ -129,11 +130,11 @@
   }
 }
 
-function report(turn: Turn, operation: Operation): void {
+function writeCrash(turn: Turn, operation: Operation): void {
   const { work } = operation;
   const entry = parseLedgerEntry(operation.ledger);
   if (entry.crashedAttemptIds.includes(work.attemptId)) {
-    succeed(turn, operation);
+    completeOperation(turn, operation);
     return;
   }
   const key = ledgerKeyOf(work.service, work.bodyHash);
@@ -149,10 +150,10 @@
     reply(turn, operation, LoneRunOutcome.Convicted, null);
     return;
   }
-  const standing = parseLoneRun(operation.lone);
-  if (!operation.mayReplace && !turn.context.options.mayBegin(standing, work.attemptId)) {
-    if (standing === null) return;
-    turn.out.push({ kind: PoisonEffectKind.Probe, id: operation.id, loneRun: standing });
+  const storedLoneRun = parseLoneRun(operation.lone);
+  if (!operation.mayReplace && !turn.context.options.mayBegin(storedLoneRun, work.attemptId)) {
+    if (storedLoneRun === null) return;
+    turn.out.push({ kind: PoisonEffectKind.Probe, id: operation.id, loneRun: storedLoneRun });
     return;
   }
   const loneKey = loneRunKeyOf(work.service);
@@ -168,13 +169,14 @@
 }
 
 /**
- * A lone run that crashed, or whose sidecar is lost, is written into the ledger in the transaction
- * that gives its place away. Failure: its own report is late, or nobody was left to make it; it
- * shows as a culprit that runs once more. The guard holds because the next lone run reads both.
+ * Handles the status of the stored lone run. A lone run that crashed, or whose sidecar was lost, is
+ * added to the ledger in the same transaction that frees the slot; the next lone run reads both. The
+ * run's own crash report may be late, or its reporter may be gone, and the content that caused the
+ * crash would otherwise run once more.
  */
-function onProbe(turn: Turn, operation: Operation, probe: LoneProbe): void {
-  const standing = parseLoneRun(operation.lone);
-  if (standing === null || probe === LoneProbe.Running) {
+function handleProbe(turn: Turn, operation: Operation, probe: LoneProbe): void {
+  const storedLoneRun = parseLoneRun(operation.lone);
+  if (storedLoneRun === null || probe === LoneProbe.Running) {
     replyLater(turn, operation);
     return;
   }
@@ -184,21 +186,21 @@
     return;
   }
   const { service } = operation.work;
-  const { bodyHash, attemptId } = standing;
+  const { bodyHash, attemptId } = storedLoneRun;
   const isCrash = probe === LoneProbe.Crashed;
   const end = isCrash ? LoneRunEnd.Crashed : LoneRunEnd.Lost;
   const id = `${operation.id}/${end}/${attemptId}`;
-  begin(turn, id, { kind: PoisonWorkKind.Settle, service, bodyHash, attemptId, end });
+  startOperation(turn, id, { kind: PoisonWorkKind.Settle, service, bodyHash, attemptId, end });
   replyLater(turn, operation);
 }
 
-/** A run that ended well clears its content; any end makes room for the next lone run. */
+/** Removes an ended lone run, and clears or extends the ledger entry of its content. */
 function settle(turn: Turn, operation: Operation): void {
   const { work } = operation;
   if (work.kind !== PoisonWorkKind.Settle) return;
-  const standing = parseLoneRun(operation.lone);
-  if (standing?.attemptId !== work.attemptId) {
-    succeed(turn, operation);
+  const storedLoneRun = parseLoneRun(operation.lone);
+  if (storedLoneRun?.attemptId !== work.attemptId) {
+    completeOperation(turn, operation);
     return;
   }
   const loneKey = loneRunKeyOf(work.service);
@@ -206,21 +208,21 @@
   const writes: StoredWrite[] = [{ key: loneKey, value: null }];
   const compares = [compareWith(loneKey, operation.lone)];
   if (work.end === LoneRunEnd.Crashed || work.end === LoneRunEnd.Lost) {
-    const before = parseLedgerEntry(operation.ledger);
-    const add = work.end === LoneRunEnd.Crashed ? withCrash : withLoss;
-    const entry = add(before, work.attemptId);
+    const previousEntry = parseLedgerEntry(operation.ledger);
+    const addAttempt = work.end === LoneRunEnd.Crashed ? withCrash : withLoss;
+    const entry = addAttempt(previousEntry, work.attemptId);
     writes.push({ key: ledgerKey, value: JSON.stringify(entry) });
     compares.push(compareWith(ledgerKey, operation.ledger));
   }
-  const isInnocent = work.end === LoneRunEnd.Finished && operation.ledger !== null;
-  if (isInnocent) {
+  const clearsEntry = work.end === LoneRunEnd.Finished && operation.ledger !== null;
+  if (clearsEntry) {
     writes.push({ key: ledgerKey, value: null });
     compares.push(compareWith(ledgerKey, operation.ledger));
   }
   transact(turn, operation, writes, compares);
 }
 
-function succeed(turn: Turn, operation: Operation): void {
+function completeOperation(turn: Turn, operation: Operation): void {
   const { work } = operation;
   switch (work.kind) {
     case PoisonWorkKind.AskLoneRun:
@@ -238,9 +240,9 @@
 }
 
 /**
- * Tells of a crash while its report is under way. Failure: the key-value service is out and the
- * same content comes with another key; it shows as one target lost after another through the
- * outage. The guard holds because the news need no service, and are repeated with each retry.
+ * Announces a crash while its report is pending. Announcements don't need the key-value service and
+ * are repeated with each retry. Otherwise, while that service is out, the same content could arrive
+ * with another idempotency key and crash one target after another.
  */
 function announceCrash(turn: Turn, operation: Operation): void {
   if (operation.work.kind !== PoisonWorkKind.ReportCrash) return;
--- a/packages/coordination/src/core/poison/ledger.ts
+++ b/packages/coordination/src/core/poison/ledger.ts
@@ -1,44 +1,48 @@
 /**
- * The ledger of contents that crash targets, in the key-value service: it outlives every process,
- * and it knows a request by its content, so that a new key does not make it innocent again. Beside
- * it stands, per service, the one lone run that may be under way, written before the run begins.
+ * The ledger of request contents that crash targets, stored in the key-value service so that it
+ * survives the restart of any process. Entries are keyed by a hash of the content, so that a new
+ * idempotency key does not clear a request of suspicion. Each service also has at most one stored
+ * lone run, written before that run begins.
  */
 import type { StoredValue } from '../claims/key-value.js';
 import type { Place } from '../records/place.js';
 
-/** What is known of one content. */
+/** Crashes and losses caused by one content. */
 export interface LedgerEntry {
-  /** Attempts during which their engine crashed; sorted, without repeats. */
+  /** Attempts during which the engine crashed; sorted, without duplicates. */
   readonly crashedAttemptIds: readonly string[];
-  /** Lone runs whose sidecar was lost with nobody left to say what became of the target. */
+  /** Lone runs whose sidecar was lost, so that the fate of the target is unknown. */
   readonly lostAttemptIds: readonly string[];
 }
 
-/** The lone run of a service: which attempt may run alone, where, and whose it is. */
+/**
+ * The lone run of a service: the attempt of a suspect that may run on a target without any other
+ * request, and where it runs.
+ */
 export interface LoneRun {
   readonly bodyHash: string;
   readonly attemptId: string;
   readonly place: Place;
-  /** Incarnation of the sidecar that may run it; another one knows nothing of it. */
+  /** Incarnation of the sidecar that may run it; other incarnations have no record of the run. */
   readonly sidecarIncarnation: string;
 }
 
-/** Prefix of a service's ledger. */
+/** Returns the key prefix of a service's ledger entries. */
 export function ledgerPrefixOf(service: string): string {
   return `poison/${service}/content/`;
 }
 
-/** Key of a content's entry. */
+/** Returns the key of a content's ledger entry. */
 export function ledgerKeyOf(service: string, bodyHash: string): string {
   return `${ledgerPrefixOf(service)}${bodyHash}`;
 }
 
-/** Key of a service's lone run. */
+/** Returns the key of a service's lone run. */
 export function loneRunKeyOf(service: string): string {
   return `poison/${service}/lone`;
 }
 
-/** Reads an entry; a missing or unreadable one counts no crash. */
+/** Parses a ledger entry. A missing or malformed one counts as free of crashes. */
 export function parseLedgerEntry(stored: StoredValue | null): LedgerEntry {
   const entry = parse<Partial<LedgerEntry>>(stored);
   return {
@@ -47,17 +51,17 @@
   };
 }
 
-/** Reads the lone run, or null. */
+/** Parses a lone run; null if it is missing or malformed. */
 export function parseLoneRun(stored: StoredValue | null): LoneRun | null {
   return parse<LoneRun>(stored);
 }
 
-/** The entry with one crash more; the same crash reported again changes nothing. */
+/** Adds a crash to an entry. A crash that is already listed changes nothing. */
 export function withCrash(entry: LedgerEntry, attemptId: string): LedgerEntry {
   return { ...entry, crashedAttemptIds: withId(entry.crashedAttemptIds, attemptId) };
 }
 
-/** The entry with one loss more. */
+/** Adds a lost lone run to an entry. One that is already listed changes nothing. */
 export function withLoss(entry: LedgerEntry, attemptId: string): LedgerEntry {
   return { ...entry, lostAttemptIds: withId(entry.lostAttemptIds, attemptId) };
 }
@@ -66,22 +70,25 @@
   return [...new Set([...ids, id])].sort();
 }
 
-/** Decides whether a content is run no more. */
+/** Decides whether a content is convicted, that is, must not run any more. */
 export type IsConvicted = (entry: LedgerEntry) => boolean;
 
-/** Crashes in total, whoever saw them, that convict: one may be bad luck in a batch, two are not. */
+/**
+ * Crashes that convict a content, whichever processes reported them. A single crash may have been
+ * caused by another request in the same batch.
+ */
 export const CONVICTING_CRASHES = 2;
 
 /**
- * Crashes and losses together that convict: a sidecar that is lost beside a lone run may have been
- * restarted by chance, so a loss weighs less than a crash that was seen.
+ * Crashes and losses together that convict a content. A sidecar lost during a lone run may have been
+ * restarted for an unrelated reason, so a loss weighs less than an observed crash.
  */
 export const CONVICTING_LOSSES = 3;
 
 /**
- * Guards the fleet against a content that crashes each target. Failure: its caller sends it again
- * and again, under new keys and through other entries; it shows as one target lost after another.
- * The guard holds because crashes are counted by content where no restart forgets them.
+ * Convicts a content by its crashes and losses in the ledger. Counting by content, in storage that
+ * survives restarts, stops a caller that retries the content under new idempotency keys and through
+ * other entries from crashing one target after another.
  */
 export const isConvicted: IsConvicted = (entry) =>
   entry.crashedAttemptIds.length >= CONVICTING_CRASHES ||
--- a/packages/coordination/src/core/poison/suspicions.ts
+++ b/packages/coordination/src/core/poison/suspicions.ts
@@ -1,35 +1,36 @@
 /**
- * What a process knows of suspected contents: from the ledger, which it reads at its start and then
- * watches, and from announcements of crashes, which come at once and through outages of the
- * key-value service. Both may miss, repeat or come late; crashes are therefore kept by attempt.
+ * Tracks the suspected contents that one process knows of. It learns them from the ledger, which it
+ * reads at its start and then watches, and from crash announcements, which arrive immediately and
+ * also during outages of the key-value service. Both sources may be incomplete, duplicated or late,
+ * so crashes are stored by attempt id.
  */
 import { Suspicion } from '../records/drive-types.js';
 import type { IsConvicted } from './ledger.js';
 
-/** What is known of one content. */
+/** A suspected content. */
 interface KnownContent {
   readonly crashedAttemptIds: Set<string>;
-  /** Whether the ledger had it; what was only announced is not cleared by its absence there. */
+  /** Whether the ledger had it. Only then does absence from the ledger clear the content. */
   inLedger: boolean;
 }
 
-/** Contents by hash, oldest news first. */
+/** Suspected contents by hash, least recently updated first. */
 export interface SuspicionTable {
   readonly byHash: Map<string, KnownContent>;
   readonly maxEntries: number;
-  /** Whether the whole ledger was read, from the key-value service or a peer that had read it. */
+  /** Whether the whole ledger was read, from the key-value service or from a peer's snapshot. */
   isRead: boolean;
 }
 
-/** Crashed attempts by content, as the ledger or a peer has them. */
+/** Crashed attempts by content hash, as stored in the ledger or known to a peer. */
 export type LedgerSnapshot = ReadonlyMap<string, readonly string[]>;
 
-/** No suspicions. */
+/** Creates an empty table that has not read the ledger yet. */
 export function createSuspicionTable(maxEntries: number): SuspicionTable {
   return { byHash: new Map(), maxEntries, isRead: false };
 }
 
-/** Takes news of crashes; the oldest content gives way when the table is full. */
+/** Records crashes of a content. A full table evicts the least recently updated content. */
 export function noteCrashes(
   table: SuspicionTable,
   bodyHash: string,
@@ -47,22 +48,23 @@
   if (table.byHash.size > table.maxEntries && oldest !== undefined) table.byHash.delete(oldest);
 }
 
-/** A content ran alone to its end: it is a suspect no more. */
+/** Removes a content that completed a lone run and is therefore no longer a suspect. */
 export function clearSuspicion(table: SuspicionTable, bodyHash: string): void {
   table.byHash.delete(bodyHash);
 }
 
-/** What a reading of the ledger showed. */
+/** Differences between the table and the ledger. */
 export interface LedgerReading {
-  /** Contents that were in the ledger and are no more. */
+  /** Contents that were in the ledger before and were removed from it. */
   readonly cleared: readonly string[];
-  /** Contents whose crashes were announced and are not all in the ledger: to be reported anew. */
+  /** Announced crashes that are missing from the ledger and have to be reported again. */
   readonly unwritten: LedgerSnapshot;
 }
 
 /**
- * Takes the whole ledger. Guards a crash whose reporter died in an outage: it would show as one
- * target more lost to the same content. The guard holds because whoever heard of it reports it.
+ * Merges the whole ledger into the table and returns how they differed. Every process that knows of
+ * an unwritten crash reports it again. Otherwise a crash whose reporter died during an outage would
+ * be lost, and the same content would crash another target.
  */
 export function readLedger(table: SuspicionTable, ledger: LedgerSnapshot): LedgerReading {
   const cleared: string[] = [];
@@ -79,7 +81,7 @@
   return { cleared, unwritten };
 }
 
-/** What a peer is given that cannot read the ledger itself. */
+/** Returns the known crashes, for a peer that can't read the ledger itself. */
 export function snapshotOf(table: SuspicionTable): LedgerSnapshot {
   return new Map(
     [...table.byHash].map(([bodyHash, known]) => [bodyHash, [...known.crashedAttemptIds]]),
@@ -87,9 +89,9 @@
 }
 
 /**
- * What is known of a content. Guards against a convicted content at an entry that has just started:
- * it would show as one more target lost after each restart. The guard holds because an entry
- * dispatches nothing before it has read the ledger.
+ * Returns the suspicion of a content, which is `Unread` until the ledger was read. An entry
+ * dispatches nothing before that; otherwise each restart of an entry could let a convicted content
+ * crash one more target.
  */
 export function suspicionOf(
   table: SuspicionTable,
--- a/packages/coordination/test/core/poison/poison.test.ts
+++ b/packages/coordination/test/core/poison/poison.test.ts
@@ -1,4 +1,7 @@
-/** Suspects: one lone run a service, conviction by content, news without the key-value service. */
+/**
+ * Tests the handling of suspected contents: one lone run per service, conviction by content, and
+ * announcements that work without the key-value service.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { StoredValue } from '../../../src/core/claims/key-value.js';
@@ -21,7 +24,8 @@
 import { LoneProbe } from '../../../src/core/records/messages.js';
 import { DEFAULT_POISON_OPTIONS } from '../../../src/core/records/options.js';
 
-class Script {
+/** Feeds events to a poison client and keeps the effects of the last one. */
+class ClientHarness {
   readonly state = createPoisonClient();
   effects: readonly PoisonEffect[] = [];
 
@@ -68,7 +72,7 @@
   return value === null ? null : { key, value: JSON.stringify(value), modRevision: 3 };
 }
 
-const OTHER = {
+const OTHER_LONE_RUN = {
   bodyHash: 'other',
   attemptId: 'theirs',
   place: { sidecar: 'sidecar-2', target: 'target-2' },
@@ -76,67 +80,70 @@
 };
 
 describe('lone runs', () => {
-  it('are written before they begin, over the ledger as it was read', () => {
-    const script = new Script().askLoneRun().read({ crashedAttemptIds: ['x'] }, null);
-    const transact = script.effect(PoisonEffectKind.Transact);
+  it('are stored before they begin, on condition that the ledger is unchanged', () => {
+    const harness = new ClientHarness().askLoneRun().read({ crashedAttemptIds: ['x'] }, null);
+    const transact = harness.effect(PoisonEffectKind.Transact);
     assert.deepEqual(
       transact?.compares.map(({ modRevision }) => modRevision),
       [0, 3],
     );
     const outcome = { succeeded: true, current: [] };
-    script.feed({ kind: PoisonEventKind.Transacted, id: 'ask', outcome });
-    const reply = script.effect(PoisonEffectKind.LoneRunReplied);
+    harness.feed({ kind: PoisonEventKind.Transacted, id: 'ask', outcome });
+    const reply = harness.effect(PoisonEffectKind.LoneRunReplied);
     assert.equal(reply?.outcome, LoneRunOutcome.Granted);
   });
 
-  it('wait for the one that stands, and begin once it is over', () => {
-    const script = new Script().askLoneRun().read(null, OTHER);
-    assert.equal(script.effect(PoisonEffectKind.Probe)?.loneRun.attemptId, 'theirs');
-    script.feed({ kind: PoisonEventKind.Probed, id: 'ask', probe: LoneProbe.Over });
-    assert.notEqual(script.effect(PoisonEffectKind.Transact), undefined);
+  it('wait for the stored lone run, and begin once it is over', () => {
+    const harness = new ClientHarness().askLoneRun().read(null, OTHER_LONE_RUN);
+    assert.equal(harness.effect(PoisonEffectKind.Probe)?.loneRun.attemptId, 'theirs');
+    harness.feed({ kind: PoisonEventKind.Probed, id: 'ask', probe: LoneProbe.Over });
+    assert.notEqual(harness.effect(PoisonEffectKind.Transact), undefined);
   });
 
-  // Story: a lone run crashes its target, the report is slow, and the culprit's caller has sent it
-  // again: a third target goes. Cause: the place was given away before the crash was in the ledger.
-  it('give their place away only with their crash written', () => {
-    const script = new Script().askLoneRun().read(null, OTHER);
-    script.feed({ kind: PoisonEventKind.Probed, id: 'ask', probe: LoneProbe.Crashed });
-    assert.equal(script.effect(PoisonEffectKind.LoneRunReplied)?.outcome, LoneRunOutcome.Later);
-    const read = script.effect(PoisonEffectKind.Read);
-    script.feed({
+  // A lone run crashes its target, the crash report is slow, and the caller retries the request. If
+  // the slot is freed before the crash is in the ledger, the content crashes a third target.
+  it('free their slot only together with writing their crash', () => {
+    const harness = new ClientHarness().askLoneRun().read(null, OTHER_LONE_RUN);
+    harness.feed({ kind: PoisonEventKind.Probed, id: 'ask', probe: LoneProbe.Crashed });
+    assert.equal(harness.effect(PoisonEffectKind.LoneRunReplied)?.outcome, LoneRunOutcome.Later);
+    const read = harness.effect(PoisonEffectKind.Read);
+    harness.feed({
       kind: PoisonEventKind.Read,
       id: read?.id ?? '',
       ledger: null,
-      lone: stored(loneRunKeyOf('service'), OTHER),
+      lone: stored(loneRunKeyOf('service'), OTHER_LONE_RUN),
     });
-    const written = script.effect(PoisonEffectKind.Transact)?.writes.map(({ key }) => key);
+    const written = harness.effect(PoisonEffectKind.Transact)?.writes.map(({ key }) => key);
     assert.deepEqual(written, [loneRunKeyOf('service'), ledgerKeyOf('service', 'other')]);
   });
 
-  it('are refused to a convicted content, and later when the work table is full', () => {
-    const script = new Script().askLoneRun().read({ crashedAttemptIds: ['x', 'y'] }, null);
-    const reply = script.effect(PoisonEffectKind.LoneRunReplied);
+  it('are refused to a convicted content, and delayed while too many operations are pending', () => {
+    const harness = new ClientHarness().askLoneRun().read({ crashedAttemptIds: ['x', 'y'] }, null);
+    const reply = harness.effect(PoisonEffectKind.LoneRunReplied);
     assert.equal(reply?.outcome, LoneRunOutcome.Convicted);
-    script.askLoneRun('one').askLoneRun('two').askLoneRun('three');
-    const refused = script.effect(PoisonEffectKind.LoneRunReplied);
+    harness.askLoneRun('one').askLoneRun('two').askLoneRun('three');
+    const refused = harness.effect(PoisonEffectKind.LoneRunReplied);
     assert.equal(refused?.outcome, LoneRunOutcome.Later);
   });
 
-  it('lost with their sidecar weigh less than crashes that were seen', () => {
-    const judge = (crashes: number, losses: number): boolean =>
+  it('lost with their sidecar weigh less than observed crashes', () => {
+    const isConvictedBy = (crashes: number, losses: number): boolean =>
       isConvicted({
         crashedAttemptIds: Array.from({ length: crashes }, String),
         lostAttemptIds: Array.from({ length: losses }, String),
       });
-    assert.deepEqual([judge(1, 1), judge(2, 0), judge(1, 2)], [false, true, true]);
+    assert.deepEqual(
+      [isConvictedBy(1, 1), isConvictedBy(2, 0), isConvictedBy(1, 2)],
+      [false, true, true],
+    );
   });
 });
 
 describe('suspicions', () => {
-  // Story: the key-value service is out; a content crashes one target, and again with another key,
-  // and again. Cause: the crash could not be written, and nobody was told.
-  it('are announced at once and with each retry of the report', () => {
-    const script = new Script().feed({
+  // During an outage of the key-value service a crash can't be written to the ledger. Without
+  // announcements, the content crashes one target after another under new idempotency keys.
+  it('are announced immediately and with each retry of the report', () => {
+    const harness = new ClientHarness().feed({
       kind: PoisonEventKind.Asked,
       id: 'crash',
       work: {
@@ -146,22 +153,23 @@
         attemptId: 'a',
       },
     });
-    assert.deepEqual(script.effect(PoisonEffectKind.Announce)?.crashedAttemptIds, ['a']);
-    script.feed({ kind: PoisonEventKind.CallFailed, id: 'crash' });
-    script.feed({ kind: PoisonEventKind.Tick }, DEFAULT_POISON_OPTIONS.retryMs);
-    assert.notEqual(script.effect(PoisonEffectKind.Announce), undefined);
+    assert.deepEqual(harness.effect(PoisonEffectKind.Announce)?.crashedAttemptIds, ['a']);
+    harness.feed({ kind: PoisonEventKind.CallFailed, id: 'crash' });
+    harness.feed({ kind: PoisonEventKind.Tick }, DEFAULT_POISON_OPTIONS.retryMs);
+    assert.notEqual(harness.effect(PoisonEffectKind.Announce), undefined);
   });
 
-  // Story: the sidecar that saw a crash dies in the outage with its report unwritten. Whoever heard
-  // of it must write it, or the next restart forgets it. Cause: one process was to report.
-  it('that the ledger lacks are found by whoever heard of them', () => {
+  // The sidecar that saw a crash may die in an outage before its report is written. If it were the
+  // only reporter, the crash would be lost with the next restart, so every process that received
+  // the announcement must find that it is missing.
+  it('that are missing from the ledger are found by every process that knows of them', () => {
     const table = createSuspicionTable(10);
     noteCrashes(table, 'body', ['a'], false);
     const { cleared, unwritten } = readLedger(table, new Map());
     assert.deepEqual([cleared, [...unwritten]], [[], [['body', ['a']]]]);
   });
 
-  it('are cleared when the ledger had them and has them no more', () => {
+  it('are cleared when they are removed from the ledger', () => {
     const table = createSuspicionTable(10);
     readLedger(table, new Map([['body', ['a']]]));
     assert.equal(suspicionOf(table, 'body', isConvicted), Suspicion.Suspect);
@@ -169,7 +177,7 @@
     assert.equal(suspicionOf(table, 'body', isConvicted), Suspicion.None);
   });
 
-  it('are unread before the first reading, counted by attempt, and bounded', () => {
+  it('are unread until the ledger is read, counted by attempt, and bounded', () => {
     const table = createSuspicionTable(2);
     assert.equal(suspicionOf(table, 'body', isConvicted), Suspicion.Unread);
     readLedger(table, new Map());
