--- a/packages/coordination/src/core/claims/aggregator.ts
+++ b/packages/coordination/src/core/claims/aggregator.ts
@@ -1,39 +1,43 @@
 /**
- * The claim aggregator: gathers claims for a few milliseconds and takes them in one transaction, so
- * that the key-value service sees batches in place of single writes (group commit). It is no
- * authority: two aggregators may work on one key, since the transaction alone decides. Where some
- * claims of a batch are held already, these are answered and the rest is tried again. After a lost
- * answer the same transaction is tried again, and its own values, found in place, count as granted.
+ * The claim aggregator: collects claims for a few milliseconds and writes them in one transaction, so
+ * that the key-value service receives batches instead of single writes (group commit). Two
+ * aggregators may work on the same key, as only the transaction decides. If some claims of a batch
+ * are already held, those are answered and the others are retried. After a lost answer the claims are
+ * retried too, and a stored claim of the requesting attempt itself counts as granted.
  */
 import type { Random } from '../random/random.js';
 import { ClaimReplyKind, claimKeyOf, parseClaim } from './claim.js';
 import type { ClaimReply, ClaimRequest } from './claim.js';
 import type { RevisionCompare, StoredValue, StoredWrite, TransactionOutcome } from './key-value.js';
 
-/** Decides the condition under which a claim is written; null for none. */
+/** Returns the condition under which a claim is written, or null to write unconditionally. */
 export type CompareOf = (key: string, expectedRevision: number) => RevisionCompare | null;
 
-/** Bounds and guards. */
+/** Limits and decision functions of the aggregator. */
 export interface AggregatorOptions {
   readonly maxBatch: number;
   readonly maxQueue: number;
-  /** Longest wait of a claim for others to share its transaction. */
-  readonly gatherMs: number;
-  /** Time after which a claim that could not be decided is refused. */
+  /** Longest time that a claim waits for others to share its transaction. */
+  readonly maxBatchDelayMs: number;
+  /** Time after which a claim that could not be decided is rejected. */
   readonly giveUpAfterMs: number;
+  /** Average delay before a failed transaction or lease grant is retried. */
   readonly retryAfterFailureMs: number;
-  /** Least time that a claim is kept. */
+  /** Minimum time for which a claim is kept. */
   readonly retentionMs: number;
-  /** Time for which one lease takes new claims. */
+  /** Time for which new claims are attached to the same lease. */
   readonly bucketMs: number;
   readonly compareOf: CompareOf;
 }
 
-/** Batches under the usual bound of 128 operations; 5 ms are little beside a call's own time. */
+/**
+ * Defaults. Batches stay below the usual limit of 128 operations per transaction, and 5 ms of waiting
+ * are short compared with the duration of a call.
+ */
 export const DEFAULT_AGGREGATOR_OPTIONS: AggregatorOptions = {
   maxBatch: 100,
   maxQueue: 2000,
-  gatherMs: 5,
+  maxBatchDelayMs: 5,
   giveUpAfterMs: 2000,
   retryAfterFailureMs: 100,
   retentionMs: 86_400_000,
@@ -42,45 +46,46 @@
 };
 
 /**
- * Guards a call against running twice. Failure: two entries, each unaware of the other, dispatch
- * the same key; it shows as a receipt issued twice. The guard holds because the service writes the
- * second claim only over the revision that was read, and an existing claim has another one.
+ * Requires that the key still has the revision that was read, or does not exist if that is 0. This
+ * prevents a call from running twice: if two entries dispatch the same idempotency key without
+ * knowing of each other, the second claim finds another revision and fails. Without it, for example,
+ * a receipt could be issued twice.
  */
 export function createIfAbsent(key: string, expectedRevision: number): RevisionCompare {
   return { key, modRevision: expectedRevision };
 }
 
-/** A claim that waits for its decision. */
+/** A claim that is not decided yet. */
 interface PendingClaim {
   readonly callId: string;
   readonly request: ClaimRequest;
   readonly arrivedAtMs: number;
-  /** Revision over which it may be written: 0 unless it replaces a claim that was read. */
+  /** Revision that the key must have: 0 unless the claim replaces a stored one. */
   expectedRevision: number;
 }
 
-/** The aggregator's memory. */
+/** State of an aggregator. */
 export interface AggregatorState {
   queue: PendingClaim[];
   inFlight: PendingClaim[];
   lease: { readonly leaseId: string; readonly usableUntilMs: number } | null;
-  isGranting: boolean;
+  isLeaseRequested: boolean;
   timerId: number;
   timerIsSet: boolean;
 }
 
-/** What it is told. */
+/** Kinds of events that the aggregator handles. */
 export enum AggregatorEventKind {
   Asked = 'asked',
   TimerFired = 'timer-fired',
   LeaseGranted = 'lease-granted',
   LeaseFailed = 'lease-failed',
   Transacted = 'transacted',
-  /** No answer: the writes may or may not have taken effect. */
+  /** The transaction got no answer: its writes may or may not have taken effect. */
   TransactionFailed = 'transaction-failed',
 }
 
-/** One thing that it is told. */
+/** An event that the aggregator handles. */
 export type AggregatorEvent =
   | {
       readonly kind: AggregatorEventKind.Asked;
@@ -93,7 +98,7 @@
   | { readonly kind: AggregatorEventKind.Transacted; readonly outcome: TransactionOutcome }
   | { readonly kind: AggregatorEventKind.TransactionFailed };
 
-/** What it asks to be done. */
+/** Kinds of effects that the aggregator requests. */
 export enum AggregatorEffectKind {
   GrantLease = 'grant-lease',
   Transact = 'transact',
@@ -101,7 +106,7 @@
   SetTimer = 'set-timer',
 }
 
-/** One thing to be done; at most one transaction and one grant are under way at a time. */
+/** An effect to perform. At most one transaction and one lease grant are in flight at a time. */
 export type AggregatorEffect =
   | { readonly kind: AggregatorEffectKind.GrantLease; readonly ttlMs: number }
   | {
@@ -120,32 +125,33 @@
       readonly afterMs: number;
     };
 
-/** What varies from call to call. */
+/** Inputs of one call to the aggregator. */
 export interface AggregatorContext {
   readonly nowMs: number;
   readonly random: Random;
   readonly options: AggregatorOptions;
 }
 
+/** Handling of one event: collects its effects. */
 interface Turn {
   readonly state: AggregatorState;
   readonly context: AggregatorContext;
   readonly out: AggregatorEffect[];
 }
 
-/** An aggregator without work. */
+/** Creates an aggregator without claims. */
 export function createAggregator(): AggregatorState {
   return {
     queue: [],
     inFlight: [],
     lease: null,
-    isGranting: false,
+    isLeaseRequested: false,
     timerId: 0,
     timerIsSet: false,
   };
 }
 
-/** Takes one event and returns what is to be done. */
+/** Handles one event and returns the effects to perform. */
 export function handleAggregatorEvent(
   state: AggregatorState,
   event: AggregatorEvent,
@@ -154,7 +160,7 @@
   const turn: Turn = { state, context, out: [] };
   switch (event.kind) {
     case AggregatorEventKind.Asked:
-      ask(turn, event.callId, event.request);
+      enqueueClaim(turn, event.callId, event.request);
       break;
     case AggregatorEventKind.TimerFired:
       if (event.timerId !== state.timerId) break;
@@ -164,12 +170,12 @@
     case AggregatorEventKind.LeaseGranted: {
       const usableUntilMs = context.nowMs + context.options.bucketMs;
       state.lease = { leaseId: event.leaseId, usableUntilMs };
-      state.isGranting = false;
+      state.isLeaseRequested = false;
       flush(turn);
       break;
     }
     case AggregatorEventKind.LeaseFailed:
-      state.isGranting = false;
+      state.isLeaseRequested = false;
       retryLater(turn);
       break;
     case AggregatorEventKind.Transacted:
@@ -184,26 +190,26 @@
   return turn.out;
 }
 
-function ask(turn: Turn, callId: string, request: ClaimRequest): void {
+function enqueueClaim(turn: Turn, callId: string, request: ClaimRequest): void {
   const { state, context } = turn;
   if (state.queue.length + state.inFlight.length >= context.options.maxQueue) {
-    reply(turn, callId, unavailable(turn));
+    reply(turn, callId, unavailableReply(turn));
     return;
   }
   const arrivedAtMs = context.nowMs;
   state.queue.push({ callId, request, arrivedAtMs, expectedRevision: 0 });
   const isIdle = state.inFlight.length === 0;
   if (isIdle && state.queue.length >= context.options.maxBatch) flush(turn);
-  else setTimer(turn, context.options.gatherMs);
+  else setTimer(turn, context.options.maxBatchDelayMs);
 }
 
 function flush(turn: Turn): void {
   const { state, context } = turn;
-  refuseOverdue(turn);
+  rejectOverdue(turn);
   if (state.inFlight.length > 0 || state.queue.length === 0) return;
   if (state.lease === null || state.lease.usableUntilMs <= context.nowMs) {
-    if (state.isGranting) return;
-    state.isGranting = true;
+    if (state.isLeaseRequested) return;
+    state.isLeaseRequested = true;
     const ttlMs = context.options.retentionMs + context.options.bucketMs;
     turn.out.push({ kind: AggregatorEffectKind.GrantLease, ttlMs });
     return;
@@ -212,16 +218,16 @@
   transact(turn, state.lease.leaseId);
 }
 
-/** One claim per key and transaction: a second claim of the same key waits for the next. */
+/** Removes the next batch from the queue. A second claim of the same key waits for the next batch. */
 function takeBatch(state: AggregatorState, maxBatch: number): PendingClaim[] {
   const batch = new Map<string, PendingClaim>();
-  const rest: PendingClaim[] = [];
+  const remaining: PendingClaim[] = [];
   for (const claim of state.queue) {
     const isFirst = !batch.has(claim.request.keyText);
     if (isFirst && batch.size < maxBatch) batch.set(claim.request.keyText, claim);
-    else rest.push(claim);
+    else remaining.push(claim);
   }
-  state.queue = rest;
+  state.queue = remaining;
   return [...batch.values()];
 }
 
@@ -242,10 +248,10 @@
   const { state } = turn;
   const batch = state.inFlight;
   state.inFlight = [];
-  const current = new Map(outcome.current.map((entry) => [entry.key, entry]));
+  const entriesByKey = new Map(outcome.current.map((entry) => [entry.key, entry]));
   for (const claim of batch) {
     if (outcome.succeeded) grant(turn, claim);
-    else decideClaim(turn, claim, current.get(claimKeyOf(claim.request.keyText)));
+    else decideClaim(turn, claim, entriesByKey.get(claimKeyOf(claim.request.keyText)));
   }
 }
 
@@ -276,18 +282,18 @@
   reply(turn, claim.callId, { kind: ClaimReplyKind.Granted, holder, retryAfterMs: 0 });
 }
 
-function refuseOverdue(turn: Turn): void {
+function rejectOverdue(turn: Turn): void {
   const { state, context } = turn;
-  const sinceMs = context.nowMs - context.options.giveUpAfterMs;
-  const overdue = state.queue.filter((claim) => claim.arrivedAtMs <= sinceMs);
+  const overdueBeforeMs = context.nowMs - context.options.giveUpAfterMs;
+  const overdue = state.queue.filter((claim) => claim.arrivedAtMs <= overdueBeforeMs);
   if (overdue.length === 0) return;
-  state.queue = state.queue.filter((claim) => claim.arrivedAtMs > sinceMs);
-  for (const claim of overdue) reply(turn, claim.callId, unavailable(turn));
+  state.queue = state.queue.filter((claim) => claim.arrivedAtMs > overdueBeforeMs);
+  for (const claim of overdue) reply(turn, claim.callId, unavailableReply(turn));
 }
 
 function retryLater(turn: Turn): void {
   const { random, options } = turn.context;
-  refuseOverdue(turn);
+  rejectOverdue(turn);
   if (turn.state.queue.length === 0) return;
   setTimer(turn, Math.ceil(options.retryAfterFailureMs * (0.5 + random())));
 }
@@ -304,7 +310,7 @@
   turn.out.push({ kind: AggregatorEffectKind.Reply, callId, reply: claimReply });
 }
 
-function unavailable(turn: Turn): ClaimReply {
+function unavailableReply(turn: Turn): ClaimReply {
   const retryAfterMs = turn.context.options.giveUpAfterMs;
   return { kind: ClaimReplyKind.Unavailable, holder: null, retryAfterMs };
 }
--- a/packages/coordination/src/core/claims/client.ts
+++ b/packages/coordination/src/core/claims/client.ts
@@ -1,37 +1,37 @@
 /**
- * An entry's side of claims: asks the aggregator of the key's shard, asks again when no answer
- * comes, whichever member is the aggregator then, and gives up in time. Asking twice is harmless:
- * a claim knows its own attempt.
+ * The client through which an entry requests claims. It calls the aggregator of the key's shard,
+ * retries with the current aggregator if no answer arrives, and gives up after a timeout. Repeated
+ * requests are harmless, as a claim is granted again to the attempt that already holds it.
  */
 import { ClaimReplyKind } from './claim.js';
 import type { ClaimReply, ClaimRequest } from './claim.js';
 
-/** Bounds of the client. */
+/** Limits of the client. */
 export interface ClaimClientOptions {
   readonly resendAfterMs: number;
   readonly giveUpAfterMs: number;
   readonly maxPending: number;
 }
 
-/** A claim under way. */
-interface AskedClaim {
+/** A request that has not been answered yet. */
+interface RequestedClaim {
   readonly request: ClaimRequest;
-  readonly askedAtMs: number;
+  readonly requestedAtMs: number;
   sentAtMs: number;
 }
 
-/** Claims under way, by the asker's id. */
+/** State of the client: pending requests, by call id. */
 export interface ClaimClientState {
-  readonly pending: Map<string, AskedClaim>;
+  readonly pending: Map<string, RequestedClaim>;
 }
 
-/** What is to be done. */
+/** Kinds of effects that the client requests. */
 export enum ClaimClientEffectKind {
   Send = 'send',
   Decided = 'decided',
 }
 
-/** One thing to be done. */
+/** An effect to perform. */
 export type ClaimClientEffect =
   | {
       readonly kind: ClaimClientEffectKind.Send;
@@ -45,32 +45,33 @@
       readonly reply: ClaimReply;
     };
 
-/** What varies from call to call. */
+/** Inputs of one call to the client. */
 export interface ClaimClientContext {
   readonly nowMs: number;
   readonly options: ClaimClientOptions;
+  /** Returns the member that is the aggregator of a key now, or null if there is none. */
   readonly aggregatorOf: (keyText: string) => string | null;
 }
 
-/** No claims. */
+/** Creates a client without pending requests. */
 export function createClaimClient(): ClaimClientState {
   return { pending: new Map() };
 }
 
-/** Asks for a claim; `callId` is unique in this process. */
+/** Requests a claim. `callId` must be unique within this process. */
 export function askClaim(
   state: ClaimClientState,
   callId: string,
   request: ClaimRequest,
   context: ClaimClientContext,
 ): readonly ClaimClientEffect[] {
-  if (state.pending.size >= context.options.maxPending) return [refused(callId, context)];
+  if (state.pending.size >= context.options.maxPending) return [unavailableEffect(callId, context)];
   const { nowMs } = context;
-  state.pending.set(callId, { request, askedAtMs: nowMs, sentAtMs: nowMs });
+  state.pending.set(callId, { request, requestedAtMs: nowMs, sentAtMs: nowMs });
   return send(callId, request, context);
 }
 
-/** Takes an aggregator's answer; only the first one counts. */
+/** Handles an aggregator's reply. Only the first reply to a call counts. */
 export function onClaimReply(
   state: ClaimClientState,
   callId: string,
@@ -80,20 +81,20 @@
   return [{ kind: ClaimClientEffectKind.Decided, callId, reply }];
 }
 
-/** Asks again what was not answered, and gives up what is overdue. */
+/** Resends unanswered requests, and gives up those that are overdue. */
 export function tickClaimClient(
   state: ClaimClientState,
   context: ClaimClientContext,
 ): readonly ClaimClientEffect[] {
   const { nowMs, options } = context;
   const out: ClaimClientEffect[] = [];
-  for (const [callId, asked] of state.pending) {
-    if (nowMs - asked.askedAtMs >= options.giveUpAfterMs) {
+  for (const [callId, claim] of state.pending) {
+    if (nowMs - claim.requestedAtMs >= options.giveUpAfterMs) {
       state.pending.delete(callId);
-      out.push(refused(callId, context));
-    } else if (nowMs - asked.sentAtMs >= options.resendAfterMs) {
-      asked.sentAtMs = nowMs;
-      out.push(...send(callId, asked.request, context));
+      out.push(unavailableEffect(callId, context));
+    } else if (nowMs - claim.sentAtMs >= options.resendAfterMs) {
+      claim.sentAtMs = nowMs;
+      out.push(...send(callId, claim.request, context));
     }
   }
   return out;
@@ -108,7 +109,7 @@
   return to === null ? [] : [{ kind: ClaimClientEffectKind.Send, to, callId, request }];
 }
 
-function refused(callId: string, context: ClaimClientContext): ClaimClientEffect {
+function unavailableEffect(callId: string, context: ClaimClientContext): ClaimClientEffect {
   const reply = {
     kind: ClaimReplyKind.Unavailable,
     holder: null,
--- a/packages/coordination/test/core/claims/aggregator.test.ts
+++ b/packages/coordination/test/core/claims/aggregator.test.ts
@@ -1,4 +1,4 @@
-/** Claims: batches, conflicts, lost answers, outages, bounds. */
+/** Tests claims: batches, conflicts, lost answers, outages and limits. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import {
@@ -33,7 +33,8 @@
   return { key: claimKeyOf(keyText), value, modRevision };
 }
 
-class Script {
+/** Feeds events to an aggregator and keeps the effects of the last one and all replies. */
+class AggregatorHarness {
   readonly state = createAggregator();
   effects: readonly AggregatorEffect[] = [];
   readonly answers = new Map<string, ClaimReplyKind>();
@@ -55,11 +56,11 @@
     return this.feed({ kind: AggregatorEventKind.Asked, callId, request });
   }
 
-  /** Lets the gathering end, with a lease at hand. */
+  /** Fires the batch timer, and grants a lease if the aggregator requests one. */
   flush(nowMs = 0): this {
     const { timerId } = this.state;
     this.feed({ kind: AggregatorEventKind.TimerFired, timerId }, nowMs);
-    if (this.state.isGranting) {
+    if (this.state.isLeaseRequested) {
       this.feed({ kind: AggregatorEventKind.LeaseGranted, leaseId: 'lease' }, nowMs);
     }
     return this;
@@ -72,54 +73,54 @@
 }
 
 describe('claim aggregator', () => {
-  it('takes the claims of a few milliseconds in one transaction', () => {
-    const script = new Script();
-    for (const key of ['a', 'b', 'c']) script.ask(key, requestOf(key, `${key}/1`));
-    assert.equal(script.flush().writes(), 3);
-    script.feed({
+  it('writes the claims of a few milliseconds in one transaction', () => {
+    const harness = new AggregatorHarness();
+    for (const key of ['a', 'b', 'c']) harness.ask(key, requestOf(key, `${key}/1`));
+    assert.equal(harness.flush().writes(), 3);
+    harness.feed({
       kind: AggregatorEventKind.Transacted,
       outcome: { succeeded: true, current: [] },
     });
-    assert.deepEqual([...script.answers.values()], Array(3).fill(ClaimReplyKind.Granted));
+    assert.deepEqual([...harness.answers.values()], Array(3).fill(ClaimReplyKind.Granted));
   });
 
-  it('answers those that are held and tries the rest again', () => {
-    const script = new Script();
-    script.ask('a', requestOf('a', 'a/1')).ask('b', requestOf('b', 'b/1')).flush();
+  it('answers claims that are held and retries the others', () => {
+    const harness = new AggregatorHarness();
+    harness.ask('a', requestOf('a', 'a/1')).ask('b', requestOf('b', 'b/1')).flush();
     const outcome = { succeeded: false, current: [storedOf('a', 'other/1')] };
-    script.feed({ kind: AggregatorEventKind.Transacted, outcome });
-    assert.equal(script.answers.get('a'), ClaimReplyKind.Held);
-    assert.equal(script.writes(), 1);
+    harness.feed({ kind: AggregatorEventKind.Transacted, outcome });
+    assert.equal(harness.answers.get('a'), ClaimReplyKind.Held);
+    assert.equal(harness.writes(), 1);
   });
 
-  it('replaces only the attempt that is known never to run, at its revision', () => {
-    const script = new Script();
-    script.ask('a', requestOf('a', 'a/2', 'a/1')).flush();
+  it('replaces only an attempt that is known never to run, at its revision', () => {
+    const harness = new AggregatorHarness();
+    harness.ask('a', requestOf('a', 'a/2', 'a/1')).flush();
     const outcome = { succeeded: false, current: [storedOf('a', 'a/1', 9)] };
-    script.feed({ kind: AggregatorEventKind.Transacted, outcome });
-    const transact = script.effects.find((e) => e.kind === AggregatorEffectKind.Transact);
+    harness.feed({ kind: AggregatorEventKind.Transacted, outcome });
+    const transact = harness.effects.find((e) => e.kind === AggregatorEffectKind.Transact);
     assert.deepEqual(transact?.compares, [{ key: claimKeyOf('a'), modRevision: 9 }]);
   });
 
-  // Story: the claim is written, its answer is lost, and the call is refused though it holds its
-  // own claim; or it is claimed again by itself. Cause: a write that took effect unseen.
-  it('counts its own value, found in place after a lost answer, as granted', () => {
-    const script = new Script().ask('a', requestOf('a', 'a/1')).flush();
-    script.feed({ kind: AggregatorEventKind.TransactionFailed }).flush();
-    assert.equal(script.writes(), 1);
+  // A transaction may take effect although its answer is lost. The retry then finds the claim stored
+  // by the same attempt, and must not reject the call because of its own claim, or claim it again.
+  it('grants a claim that the same attempt had stored before its answer was lost', () => {
+    const harness = new AggregatorHarness().ask('a', requestOf('a', 'a/1')).flush();
+    harness.feed({ kind: AggregatorEventKind.TransactionFailed }).flush();
+    assert.equal(harness.writes(), 1);
     const outcome = { succeeded: false, current: [storedOf('a', 'a/1')] };
-    script.feed({ kind: AggregatorEventKind.Transacted, outcome });
-    assert.equal(script.answers.get('a'), ClaimReplyKind.Granted);
+    harness.feed({ kind: AggregatorEventKind.Transacted, outcome });
+    assert.equal(harness.answers.get('a'), ClaimReplyKind.Granted);
   });
 
-  it('refuses in an outage when the time is over, and at once when the queue is full', () => {
-    const script = new Script({ maxQueue: 1 });
-    script.ask('a', requestOf('a', 'a/1')).ask('b', requestOf('b', 'b/1'));
-    assert.equal(script.answers.get('b'), ClaimReplyKind.Unavailable);
-    script.flush();
+  it('rejects after a timeout in an outage, and immediately when the queue is full', () => {
+    const harness = new AggregatorHarness({ maxQueue: 1 });
+    harness.ask('a', requestOf('a', 'a/1')).ask('b', requestOf('b', 'b/1'));
+    assert.equal(harness.answers.get('b'), ClaimReplyKind.Unavailable);
+    harness.flush();
     const { giveUpAfterMs } = DEFAULT_AGGREGATOR_OPTIONS;
-    script.feed({ kind: AggregatorEventKind.TransactionFailed }, giveUpAfterMs);
-    assert.equal(script.answers.get('a'), ClaimReplyKind.Unavailable);
+    harness.feed({ kind: AggregatorEventKind.TransactionFailed }, giveUpAfterMs);
+    assert.equal(harness.answers.get('a'), ClaimReplyKind.Unavailable);
   });
 });
 
@@ -130,17 +131,17 @@
     aggregatorOf: () => 'aggregator',
   });
 
-  it('asks again, gives up in time, and takes the first answer only', () => {
+  it('resends, gives up after a timeout, and accepts only the first answer', () => {
     const { resendAfterMs, giveUpAfterMs } = DEFAULT_CLAIM_CLIENT_OPTIONS;
     const state = createClaimClient();
     askClaim(state, 'one', requestOf('a', 'a/1'), context(0));
-    const full = askClaim(state, 'two', requestOf('b', 'b/1'), context(0));
-    assert.equal(full[0]?.kind, ClaimClientEffectKind.Decided);
-    const [again] = tickClaimClient(state, context(resendAfterMs));
-    assert.equal(again?.kind, ClaimClientEffectKind.Send);
-    const [given] = tickClaimClient(state, context(giveUpAfterMs));
-    assert.equal(given?.kind, ClaimClientEffectKind.Decided);
-    const late = { kind: ClaimReplyKind.Granted, holder: null, retryAfterMs: 0 };
-    assert.deepEqual(onClaimReply(state, 'one', late), []);
+    const rejected = askClaim(state, 'two', requestOf('b', 'b/1'), context(0));
+    assert.equal(rejected[0]?.kind, ClaimClientEffectKind.Decided);
+    const [resent] = tickClaimClient(state, context(resendAfterMs));
+    assert.equal(resent?.kind, ClaimClientEffectKind.Send);
+    const [timedOut] = tickClaimClient(state, context(giveUpAfterMs));
+    assert.equal(timedOut?.kind, ClaimClientEffectKind.Decided);
+    const lateReply = { kind: ClaimReplyKind.Granted, holder: null, retryAfterMs: 0 };
+    assert.deepEqual(onClaimReply(state, 'one', lateReply), []);
   });
 });
