--- a/packages/coordination/src/core/dependencies/graph.ts
+++ b/packages/coordination/src/core/dependencies/graph.ts
@@ -1,6 +1,6 @@
 /**
- * The dependency graph of the services: order and cycles. Everything here is a pure function of
- * the configuration, so that every process works out the same order without asking.
+ * The dependency graph of the services: cycles, depths and the drain order. All functions depend only
+ * on the configuration, so that every process computes the same order without communication.
  */
 import type { ServiceSpec } from '../model/configuration.js';
 
@@ -8,27 +8,27 @@
 export type DependentService = Pick<ServiceSpec, 'name' | 'dependsOn'>;
 
 /**
- * Finds a circle of dependencies.
+ * Finds a dependency cycle. Unknown service names are ignored here, as they are reported as a separate
+ * configuration error.
  *
- * @returns the names on the circle, its first name again at the end; null when there is none.
- * Unknown names are passed over: they are a fault of their own.
+ * @returns the names on the cycle, with the first one repeated at the end, or null if there is none.
  */
 export function findDependencyCycle(services: readonly DependentService[]): string[] | null {
   const dependencies = new Map(services.map(({ name, dependsOn }) => [name, dependsOn]));
-  const settled = new Set<string>();
-  const trail: string[] = [];
+  const visited = new Set<string>();
+  const path: string[] = [];
 
   const visit = (name: string): string[] | null => {
-    const start = trail.indexOf(name);
-    if (start >= 0) return [...trail.slice(start), name];
-    if (settled.has(name)) return null;
-    trail.push(name);
+    const start = path.indexOf(name);
+    if (start >= 0) return [...path.slice(start), name];
+    if (visited.has(name)) return null;
+    path.push(name);
     for (const dependency of dependencies.get(name) ?? []) {
       const cycle = visit(dependency);
       if (cycle !== null) return cycle;
     }
-    trail.pop();
-    settled.add(name);
+    path.pop();
+    visited.add(name);
     return null;
   };
 
@@ -39,7 +39,7 @@
   return null;
 }
 
-/** How many dependencies lie below each service on its longest way down; 0 for none. */
+/** Returns the length of the longest dependency chain below each service; 0 without dependencies. */
 export function dependencyDepths(
   services: readonly DependentService[],
 ): ReadonlyMap<string, number> {
@@ -49,10 +49,15 @@
   const depthOf = (name: string): number => {
     const known = depths.get(name);
     if (known !== undefined) return known;
-    // Set before the descent, so that a circle which slipped past the check ends here.
+    // Set before the recursion, so that it ends even if a cycle was not caught by validation.
     depths.set(name, 0);
-    const below = (byName.get(name)?.dependsOn ?? []).filter((other) => byName.has(other));
-    const depth = below.reduce((deepest, other) => Math.max(deepest, depthOf(other) + 1), 0);
+    const dependencies = (byName.get(name)?.dependsOn ?? []).filter((dependency) =>
+      byName.has(dependency),
+    );
+    const depth = dependencies.reduce(
+      (deepest, dependency) => Math.max(deepest, depthOf(dependency) + 1),
+      0,
+    );
     depths.set(name, depth);
     return depth;
   };
@@ -62,8 +67,9 @@
 }
 
 /**
- * The order in which services stop: each wave only when the wave before has ended. A service stops
- * before what it depends on, so that its running requests can still finish their inner calls.
+ * Returns the order in which services are drained, in waves: each wave starts when the previous one
+ * has completed. A service is drained before its dependencies, so that its running requests can still
+ * complete their inner calls.
  */
 export function drainOrder(services: readonly DependentService[]): readonly (readonly string[])[] {
   const depths = dependencyDepths(services);
--- a/packages/coordination/src/core/dependencies/readiness.ts
+++ b/packages/coordination/src/core/dependencies/readiness.ts
@@ -1,36 +1,37 @@
 /**
- * When a service is ready: it has a target that serves, and so has everything that it depends on.
- * A request for a service that is not ready is refused at the entry as not run; let through, it
- * would hold a target until its inner call fails.
+ * Determines which services are ready. A service is ready if it has a serving target and all of its
+ * dependencies are ready. The entry rejects requests for a service that is not ready and reports them
+ * as not run; otherwise such a request would occupy a target until its inner call fails.
  */
 import type { DependentService } from './graph.js';
 
 /** Why a service is not ready. */
 export enum UnreadyCause {
-  /** None of its own targets serves. */
+  /** The service itself has no serving target. */
   NoTarget = 'no-target',
-  /** Something that it depends on is not ready. */
+  /** A direct or indirect dependency has no serving target. */
   Dependency = 'dependency',
-  /** It depends on a service that the configuration does not have. */
+  /** A direct or indirect dependency is missing from the configuration. */
   UnknownDependency = 'unknown-dependency',
 }
 
-/** Whether a service is ready and, if not, why. */
+/** Whether a service is ready and, if not, for which reason. */
 export type Readiness =
   | { readonly ready: true }
   | {
       readonly ready: false;
       readonly cause: UnreadyCause;
-      /** The service that lacks a target: itself, or one below it. */
+      /** Service that causes this: the service itself or one of its dependencies. */
       readonly service: string;
     };
 
 const READY: Readiness = { ready: true };
 
 /**
- * Works out the readiness of every service.
+ * Returns the readiness of every service.
  *
- * @param servingTargets targets of a service that take new work now, as this process sees them.
+ * @param servingTargets - Returns the number of a service's targets that accept new work now, as
+ * known to this process.
  */
 export function readinessOf(
   services: readonly DependentService[],
@@ -46,9 +47,9 @@
     if (service === undefined) {
       return { ready: false, cause: UnreadyCause.UnknownDependency, service: name };
     }
-    // Set before the descent, so that a circle which slipped past the check ends here.
+    // Set before the recursion, so that it ends even if a cycle was not caught by validation.
     results.set(name, READY);
-    const result = resolveOwn(service, servingTargets(name), resolve);
+    const result = resolveService(service, servingTargets(name), resolve);
     results.set(name, result);
     return result;
   };
@@ -57,18 +58,21 @@
   return results;
 }
 
-function resolveOwn(
+function resolveService(
   service: DependentService,
-  serving: number,
+  servingTargetCount: number,
   resolve: (name: string) => Readiness,
 ): Readiness {
-  if (serving < 1) return { ready: false, cause: UnreadyCause.NoTarget, service: service.name };
+  if (servingTargetCount < 1)
+    return { ready: false, cause: UnreadyCause.NoTarget, service: service.name };
   for (const name of service.dependsOn) {
-    const below = resolve(name);
-    if (below.ready) continue;
+    const dependency = resolve(name);
+    if (dependency.ready) continue;
     const cause =
-      below.cause === UnreadyCause.UnknownDependency ? below.cause : UnreadyCause.Dependency;
-    return { ready: false, cause, service: below.service };
+      dependency.cause === UnreadyCause.UnknownDependency
+        ? dependency.cause
+        : UnreadyCause.Dependency;
+    return { ready: false, cause, service: dependency.service };
   }
   return READY;
 }
--- a/packages/coordination/src/core/dependencies/shedding.ts
+++ b/packages/coordination/src/core/dependencies/shedding.ts
@@ -1,15 +1,15 @@
 /**
- * What is refused first under overload. A service inherits the priority of the most important
- * service that depends on it: refusing a dependency's work would fail its dependents after they had
- * already used a target.
+ * Determines the order in which services are shed under overload. A service inherits the priority of
+ * the most important service that depends on it, because rejecting the work of a dependency would
+ * fail its dependents after they had already used a target.
  */
 import type { ServiceSpec } from '../model/configuration.js';
 import { dependencyDepths } from './graph.js';
 
-/** The part of a service that shedding needs. */
+/** The part of a service that load shedding needs. */
 export type SheddableService = Pick<ServiceSpec, 'name' | 'dependsOn' | 'priority'>;
 
-/** Each service's own priority, or that of its most important dependent where that is higher. */
+/** Returns for each service the higher of its own priority and the highest one of its dependents. */
 export function effectivePriorities(
   services: readonly SheddableService[],
 ): ReadonlyMap<string, number> {
@@ -19,18 +19,20 @@
     (a, b) => (depths.get(b.name) ?? 0) - (depths.get(a.name) ?? 0),
   );
   for (const { name, dependsOn } of dependentsFirst) {
-    const own = priorities.get(name) ?? 0;
+    const priority = priorities.get(name) ?? 0;
     for (const dependency of dependsOn) {
-      const inherited = priorities.get(dependency);
-      if (inherited !== undefined) priorities.set(dependency, Math.max(inherited, own));
+      const dependencyPriority = priorities.get(dependency);
+      if (dependencyPriority !== undefined)
+        priorities.set(dependency, Math.max(dependencyPriority, priority));
     }
   }
   return priorities;
 }
 
 /**
- * Services in the order in which they are shed: lowest effective priority first, and of equals the
- * dependents before their dependencies, as a refusal at the outermost service wastes no work.
+ * Returns the services in the order in which they are shed: by ascending effective priority, and with
+ * equal priority dependents before their dependencies, as a rejection at the outermost service wastes
+ * no work.
  */
 export function shedOrder(services: readonly SheddableService[]): readonly string[] {
   const priorities = effectivePriorities(services);
--- a/packages/coordination/test/core/dependencies/budget.test.ts
+++ b/packages/coordination/test/core/dependencies/budget.test.ts
@@ -1,4 +1,4 @@
-/** Deadlines and retries that flow down the dependencies. */
+/** Tests how deadlines and retry budgets are propagated along service dependencies. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import {
@@ -12,12 +12,12 @@
 
 describe('call budgets', () => {
   describe('when a call is accepted', () => {
-    it('are the service’s own where none is asked for', () => {
+    it('default to the limits of the service', () => {
       const budget = acceptBudget(SERVICE, null);
       assert.deepEqual(budget, { remainingMs: 10_000, retriesLeft: MAX_RETRIES_PER_REQUEST });
     });
 
-    it('never exceed the service’s, nor fall below nothing', () => {
+    it('stay between zero and the limits of the service', () => {
       const wide = acceptBudget(SERVICE, { remainingMs: 1e9, retriesLeft: 99 });
       assert.deepEqual(wide, { remainingMs: 10_000, retriesLeft: MAX_RETRIES_PER_REQUEST });
       const narrow = acceptBudget(SERVICE, { remainingMs: -5, retriesLeft: -1 });
@@ -26,12 +26,12 @@
   });
 
   describe('when passed on', () => {
-    it('lose the time spent and a reserve', () => {
+    it('are reduced by the elapsed time and a reserve', () => {
       const passed = passOnBudget({ remainingMs: 10_000, retriesLeft: 1 }, 2_000);
       assert.deepEqual(passed, { remainingMs: 7_600, retriesLeft: 1 });
     });
 
-    it('shrink at every level until a call would be of no use', () => {
+    it('shrink at every level until an inner call would be useless', () => {
       let budget = acceptBudget({ deadlineMs: 1_000 }, null);
       let levels = 0;
       for (;;) {
@@ -45,7 +45,7 @@
     });
   });
 
-  describe('second tries', () => {
+  describe('retries', () => {
     it('are shared by the whole call tree', () => {
       const first = takeRetry({ remainingMs: 100, retriesLeft: 2 });
       assert.ok(first);
--- a/packages/coordination/test/core/dependencies/dependencies.test.ts
+++ b/packages/coordination/test/core/dependencies/dependencies.test.ts
@@ -1,4 +1,4 @@
-/** What a dependency does: readiness, the order of stopping and of shedding. */
+/** Tests the effects of dependencies on readiness, the drain order and the order of shedding. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
@@ -23,7 +23,7 @@
 
 describe('dependencies', () => {
   describe('cycles', () => {
-    it('are found and named in order', () => {
+    it('are found and returned in order', () => {
       const cycle = findDependencyCycle([
         service('a', ['b']),
         service('b', ['c']),
@@ -32,20 +32,20 @@
       assert.deepEqual(cycle, ['b', 'c', 'b']);
     });
 
-    it('are not seen in a diamond', () => {
+    it('are not reported for services that share a dependency', () => {
       assert.equal(findDependencyCycle(FLEET), null);
     });
 
-    it('do not hang the other functions, should one slip through', () => {
-      const ring = [service('a', ['b']), service('b', ['a'])];
-      assert.equal(dependencyDepths(ring).size, 2);
-      assert.equal(readinessOf(ring, () => 1).size, 2);
-      assert.equal(shedOrder(ring).length, 2);
+    it('do not hang the other functions if validation missed one', () => {
+      const cycle = [service('a', ['b']), service('b', ['a'])];
+      assert.equal(dependencyDepths(cycle).size, 2);
+      assert.equal(readinessOf(cycle, () => 1).size, 2);
+      assert.equal(shedOrder(cycle).length, 2);
     });
   });
 
   describe('readiness', () => {
-    it('needs a serving target of its own and below', () => {
+    it('requires a serving target of the service and of its dependencies', () => {
       const serving = new Map([
         ['portal', 3],
         ['llm', 0],
@@ -58,7 +58,7 @@
       assert.deepEqual(readiness.get('llm'), { ...unready, cause: UnreadyCause.NoTarget });
     });
 
-    it('returns by itself when the dependency does', () => {
+    it('holds for all services when all have serving targets', () => {
       const readiness = readinessOf(FLEET, () => 1);
       assert.deepEqual(
         [...readiness.values()].map(({ ready }) => ready),
@@ -66,7 +66,7 @@
       );
     });
 
-    it('says when the dependency is unknown', () => {
+    it('reports an unknown dependency', () => {
       const readiness = readinessOf([service('a', ['gone'])], () => 1);
       assert.deepEqual(readiness.get('a'), {
         ready: false,
@@ -77,7 +77,7 @@
   });
 
   describe('stopping', () => {
-    it('takes dependents before what they depend on', () => {
+    it('stops dependents before their dependencies', () => {
       assert.deepEqual(drainOrder(FLEET), [['portal'], ['store'], ['llm']]);
     });
 
@@ -98,7 +98,7 @@
   });
 
   describe('shedding', () => {
-    it('spares a dependency as long as its most important dependent', () => {
+    it('keeps a dependency as long as its most important dependent', () => {
       assert.deepEqual(
         effectivePriorities(FLEET),
         new Map([
@@ -124,7 +124,7 @@
   });
 });
 
-/** Up to twelve services, each of which depends only on ones with a lower number. */
+/** Generates up to twelve services, each of which depends only on services with a lower number. */
 function acyclicServices() {
   const spec = fc.record({ priority: fc.nat(100), below: fc.array(fc.nat(11), { maxLength: 3 }) });
   return fc.array(spec, { minLength: 1, maxLength: 12 }).map((specs) =>
