--- a/packages/coordination/src/core/config/adopting.ts
+++ b/packages/coordination/src/core/config/adopting.ts
@@ -1,6 +1,7 @@
 /**
- * Putting versions in force and passing them on. Every path by which a document arrives ends in
- * {@link adopt}, where the version is compared, so no late answer can bring an old one back.
+ * Applies new configuration versions in a process and passes them on to peers. Every path by which a
+ * document arrives ends in {@link applyConfiguration}, which compares versions, so a late answer
+ * cannot restore an older version.
  */
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
@@ -14,22 +15,23 @@
 import type { ConfigState } from './state.js';
 import { MAX_HOLDERS } from './state.js';
 
-/** The version in force, 0 when there is none. */
+/** Returns the active version, or 0 when there is none. */
 export function versionInForce(state: ConfigState): number {
   return state.inForce?.version ?? 0;
 }
 
-/** Notes that nothing newer than `version` existed at `atMs` on the own clock. */
-export function noteFresh(state: ConfigState, version: number, atMs: number): void {
+/** Records that nothing newer than `version` existed at `atMs` on the local clock. */
+export function recordFreshness(state: ConfigState, version: number, atMs: number): void {
   if (version <= versionInForce(state)) {
     state.freshAtMs = Math.max(state.freshAtMs ?? atMs, atMs);
     return;
   }
-  if (state.freshWhen === null || atMs > state.freshWhen.atMs) state.freshWhen = { version, atMs };
+  if (state.pendingFreshness === null || atMs > state.pendingFreshness.atMs)
+    state.pendingFreshness = { version, atMs };
 }
 
-/** Notes that `holder` has `version`; null for the key-value service. */
-export function noteVersion(state: ConfigState, version: number, holder: string): void {
+/** Records that `holder` has `version`, unless a newer version is active or wanted already. */
+export function recordHolder(state: ConfigState, version: number, holder: string): void {
   if (!state.options.guards.mayReplace(versionInForce(state), version)) return;
   if (state.wanted === null || version > state.wanted.version) {
     state.wanted = { version, holders: [] };
@@ -39,7 +41,7 @@
   if (state.wanted.holders.length > MAX_HOLDERS) state.wanted.holders.shift();
 }
 
-function keepPatch(state: ConfigState, patch: ConfigurationPatch): void {
+function storePatch(state: ConfigState, patch: ConfigurationPatch): void {
   const last = state.patches.at(-1);
   if (last !== undefined && last.version !== patch.fromVersion) state.patches.length = 0;
   state.patches.push(patch);
@@ -47,19 +49,20 @@
 }
 
 function announce(state: ConfigState, version: number, context: ConfigContext): ConfigEffect[] {
-  const told = new Set<string>();
+  const peers = new Set<string>();
   for (let peer = 0; peer < state.options.announceFanout; peer += 1) {
     const to = context.pickPeer();
-    if (to !== null) told.add(to);
+    if (to !== null) peers.add(to);
   }
-  return [...told].map((to) => ({ kind: ConfigEffectKind.Announce, to, version }));
+  return [...peers].map((to) => ({ kind: ConfigEffectKind.Announce, to, version }));
 }
 
 /**
- * Puts a document in force if it is newer. Failure guarded against: an answer that was delayed past
- * a later edit reverts the process. It shows as a version that is not higher than the one in force.
+ * Applies a document if it is newer than the active one. An answer that was delayed past a later
+ * edit is recognized by a version that is not higher; applying it would revert the process to an
+ * older configuration.
  */
-export function adopt(
+export function applyConfiguration(
   state: ConfigState,
   configuration: MemberConfiguration,
   patch: ConfigurationPatch | null,
@@ -68,14 +71,14 @@
   const { inForce, options } = state;
   if (inForce !== null) {
     if (!options.guards.mayReplace(inForce.version, configuration.version)) return [];
-    keepPatch(state, patch ?? diffConfigurations(inForce, configuration, context.hash32));
+    storePatch(state, patch ?? diffConfigurations(inForce, configuration, context.hash32));
   }
   state.inForce = configuration;
   if (state.wanted !== null && state.wanted.version <= configuration.version) state.wanted = null;
-  const { freshWhen } = state;
-  if (freshWhen !== null && freshWhen.version <= configuration.version) {
-    state.freshWhen = null;
-    noteFresh(state, freshWhen.version, freshWhen.atMs);
+  const { pendingFreshness } = state;
+  if (pendingFreshness !== null && pendingFreshness.version <= configuration.version) {
+    state.pendingFreshness = null;
+    recordFreshness(state, pendingFreshness.version, pendingFreshness.atMs);
   }
   return [
     { kind: ConfigEffectKind.PutInForce, configuration },
@@ -90,7 +93,7 @@
   ];
 }
 
-/** Answers a peer's fetch. Errors: `configuration-not-held`. */
+/** Answers a peer's fetch request. Errors: `configuration-not-held`. */
 export function serveConfigFetch(
   state: ConfigState,
   request: FetchRequest,
@@ -99,26 +102,26 @@
   if (inForce === null || inForce.version <= request.haveVersion) {
     return err(configurationNotHeld.of(request));
   }
-  const first = patches.findIndex((patch) => patch.fromVersion === request.haveVersion);
-  if (first >= 0) return ok({ patches: patches.slice(first), whole: null });
+  const firstIndex = patches.findIndex((patch) => patch.fromVersion === request.haveVersion);
+  if (firstIndex >= 0) return ok({ patches: patches.slice(firstIndex), whole: null });
   return ok({ patches: null, whole: inForce });
 }
 
-/** What came of a peer's answer. The effects are to be performed whether or not all of it fitted. */
-export interface TakenAnswer {
+/** The result of applying a peer's answer. The effects must be performed even on a mismatch. */
+export interface AppliedAnswer {
   readonly effects: readonly ConfigEffect[];
-  /** A patch did not fit: the whole document has to be fetched. */
+  /** Whether a patch did not apply, so that the whole document has to be fetched. */
   readonly isMismatch: boolean;
 }
 
-/** Applies a peer's answer, as far as its patches fit. */
-export function takeAnswer(
+/** Applies a peer's answer, up to the first patch that does not match. */
+export function applyFetchAnswer(
   state: ConfigState,
   answer: FetchAnswer,
   context: ConfigContext,
-): TakenAnswer {
+): AppliedAnswer {
   if (answer.whole !== null) {
-    return { effects: adopt(state, answer.whole, null, context), isMismatch: false };
+    return { effects: applyConfiguration(state, answer.whole, null, context), isMismatch: false };
   }
   const effects: ConfigEffect[] = [];
   for (const patch of answer.patches ?? []) {
@@ -127,7 +130,7 @@
     if (patch.fromVersion < inForce.version) continue;
     const patched = applyPatch(inForce, patch, context.hash32);
     if (patched.isErr()) return { effects, isMismatch: true };
-    effects.push(...adopt(state, patched.value, patch, context));
+    effects.push(...applyConfiguration(state, patched.value, patch, context));
   }
   return { effects, isMismatch: false };
 }
--- a/packages/coordination/src/core/config/cut-off.ts
+++ b/packages/coordination/src/core/config/cut-off.ts
@@ -1,8 +1,8 @@
 /**
- * When a process stops taking new work because it may be acting on an old configuration. It goes on
- * as long as it has fresh news, or sees at least half of the targets of the configuration in force:
- * an edit that was accepted reaches the larger part, so whoever is with the larger part hears of it.
- * See docs/design/configuration.md for the cases.
+ * Decides when a process stops accepting new work because its configuration may be stale. It keeps
+ * accepting work while it has recent proof that its version is the latest, or sees at least half of
+ * the targets of the active configuration: an accepted edit reaches the larger side of a partition,
+ * so every process on that side receives it. See docs/design/configuration.md for the cases.
  */
 import { EventKind } from '../events/event.js';
 import type { Configuration } from '../model/configuration.js';
@@ -11,12 +11,15 @@
 import type { ConfigState } from './state.js';
 
 /**
- * A starting process has to find the others before the share of them that it sees says anything;
- * until then only fresh news counts.
+ * A starting process must discover the other members before the share of targets that it sees is
+ * meaningful. Until then, only recent proof of freshness counts.
  */
-const SETTLE_MS = 3_000;
+const STARTUP_SETTLE_MS = 3_000;
 
-/** Share of the targets that are not withdrawn whose sidecars are seen; 1 when there are none. */
+/**
+ * Returns the share, 0 to 1, of the targets in service whose sidecars are seen as alive. Withdrawn
+ * targets do not count; without any other target the share is 1.
+ */
 export function seenRatio(compiled: Configuration, context: ConfigContext): number {
   const targets = compiled.services.flatMap((service) => service.targets);
   const expected = targets.filter((target) => !target.withdrawn);
@@ -28,24 +31,24 @@
   return seen.length / expected.length;
 }
 
-/** Whether enough of the fleet is in sight for its news to reach this process. */
-export function seesEnough(state: ConfigState, context: ConfigContext): boolean {
-  if (state.inForce === null || context.nowMs - state.startedAtMs < SETTLE_MS) return false;
-  // Beliefs lag behind in a process that is cut off; the answers to its own probes do not.
+/** Returns whether this process sees enough of the fleet to receive its configuration updates. */
+export function seesEnoughTargets(state: ConfigState, context: ConfigContext): boolean {
+  if (state.inForce === null || context.nowMs - state.startedAtMs < STARTUP_SETTLE_MS) return false;
+  // When a process is cut off, its membership view lags behind, but its own probes fail at once.
   const ratio = Math.min(seenRatio(state.inForce.compiled, context), context.answeredRatio());
   return state.options.guards.maySeeEnough(ratio);
 }
 
-/** Applies the rule and tells of a change. */
-export function judgeNewWork(state: ConfigState, context: ConfigContext): ConfigEffect[] {
+/** Updates whether new work is allowed and reports a change. */
+export function updateNewWork(state: ConfigState, context: ConfigContext): ConfigEffect[] {
   const { nowMs } = context;
   const { cutOffMs } = state.options;
   const freshAgeMs = state.freshAtMs === null ? Infinity : nowMs - state.freshAtMs;
   if (state.freshAtMs !== null) {
     state.justifiedAtMs = Math.max(state.justifiedAtMs ?? -Infinity, state.freshAtMs);
   }
-  // Counting the targets is left out while there is fresh news, which is nearly always.
-  if (freshAgeMs > cutOffMs / 2 && seesEnough(state, context)) state.justifiedAtMs = nowMs;
+  // Skips counting the targets while the last proof of freshness is recent, which is the usual case.
+  if (freshAgeMs > cutOffMs / 2 && seesEnoughTargets(state, context)) state.justifiedAtMs = nowMs;
   const { inForce, justifiedAtMs } = state;
   const justified = justifiedAtMs !== null && nowMs - justifiedAtMs <= cutOffMs;
   const allowed = inForce !== null && justified;
--- a/packages/coordination/src/core/config/document.ts
+++ b/packages/coordination/src/core/config/document.ts
@@ -1,7 +1,8 @@
 /**
- * The configuration as members hold it and pass it on: the compiled document without the operators'
- * text, which only the command line needs, and patches between versions, since a whole document at
- * 730 targets for each of 650 edits a day would cost a member half of its control budget.
+ * Defines the configuration as members store and exchange it: the compiled document without the
+ * operators' text, which only the command line needs, and patches between versions. Sending the
+ * whole document of 730 targets for each of 650 edits a day would use half of a member's budget for
+ * control traffic.
  */
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
@@ -17,20 +18,20 @@
 } from '../model/configuration.js';
 import { patchMismatch } from './failures.js';
 
-/** What a member acts on. */
+/** The part of a configuration document that members act on. */
 export type MemberConfiguration = Omit<ConfigurationDocument, 'text'>;
 
-/** A list of named things as a patch: the order of names, and the things that changed. */
-interface NamedPatch<Thing> {
+/** A patch of a list of named items: the order of the names, and the items that changed. */
+interface NamedPatch<Item> {
   /** All names in order; null when names and order are unchanged. */
   readonly names: readonly string[] | null;
-  readonly changed: readonly Thing[];
+  readonly changed: readonly Item[];
 }
 
-/** A service without its targets, which are patched one by one. */
+/** A service without its targets, which are patched individually. */
 type ServiceHead = Omit<ServiceSpec, 'targets'>;
 
-/** What leads from one version to a later one. */
+/** The changes from one version of the configuration to a later one. */
 export interface ConfigurationPatch {
   readonly fromVersion: number;
   readonly version: number;
@@ -38,22 +39,22 @@
   readonly editedAtMs: number;
   readonly editedBy: string;
   readonly services: NamedPatch<ServiceHead>;
-  /** Patches of targets by service; services without a change are absent. */
+  /** Patches of the targets by service name; services without changed targets are absent. */
   readonly targets: Readonly<Record<string, NamedPatch<TargetSpec>>>;
   readonly workspaces: NamedPatch<WorkspaceSpec>;
   /** Null when unchanged. */
   readonly limits: LimitsSpec | null;
-  /** Hash of the document that must come out. */
+  /** Hash of the configuration that applying the patch must produce. */
   readonly resultHash: number;
 }
 
-/** Drops the text. */
+/** Returns the document without the operators' text. */
 export function withoutText(document: ConfigurationDocument): MemberConfiguration {
   const { version, editId, compiled, editedAtMs, editedBy } = document;
   return { version, editId, compiled, editedAtMs, editedBy };
 }
 
-/** Fingerprint of what a document makes a process do; the order of fields does not matter. */
+/** Returns a hash of the compiled configuration that does not depend on the order of fields. */
 export function configurationHash(compiled: Configuration, hash32: Hash32): number {
   return hash32(JSON.stringify(compiled, sortFields));
 }
@@ -63,29 +64,29 @@
   return Object.fromEntries(Object.entries(value).sort(([one], [other]) => (one < other ? -1 : 1)));
 }
 
-function diffNamed<Thing extends { readonly name: string }>(
-  before: readonly Thing[],
-  after: readonly Thing[],
-): NamedPatch<Thing> {
-  const known = new Map(before.map((thing) => [thing.name, JSON.stringify(thing)]));
-  const changed = after.filter((thing) => known.get(thing.name) !== JSON.stringify(thing));
+function diffNamed<Item extends { readonly name: string }>(
+  before: readonly Item[],
+  after: readonly Item[],
+): NamedPatch<Item> {
+  const serializedItems = new Map(before.map((item) => [item.name, JSON.stringify(item)]));
+  const changed = after.filter((item) => serializedItems.get(item.name) !== JSON.stringify(item));
   const sameNames =
     before.length === after.length &&
-    after.every((thing, index) => before[index]?.name === thing.name);
-  return { names: sameNames ? null : after.map((thing) => thing.name), changed };
+    after.every((item, index) => before[index]?.name === item.name);
+  return { names: sameNames ? null : after.map((item) => item.name), changed };
 }
 
-function applyNamed<Thing extends { readonly name: string }>(
-  before: readonly Thing[],
-  patch: NamedPatch<Thing>,
-): Thing[] {
-  const things = new Map(before.map((thing) => [thing.name, thing]));
-  for (const thing of patch.changed) things.set(thing.name, thing);
-  const names = patch.names ?? before.map((thing) => thing.name);
-  return names.flatMap((name) => things.get(name) ?? []);
+function applyNamed<Item extends { readonly name: string }>(
+  before: readonly Item[],
+  patch: NamedPatch<Item>,
+): Item[] {
+  const items = new Map(before.map((item) => [item.name, item]));
+  for (const item of patch.changed) items.set(item.name, item);
+  const names = patch.names ?? before.map((item) => item.name);
+  return names.flatMap((name) => items.get(name) ?? []);
 }
 
-function headOf(service: ServiceSpec): ServiceHead {
+function withoutTargets(service: ServiceSpec): ServiceHead {
   return Object.fromEntries(
     Object.entries(service).filter(([field]) => field !== 'targets'),
   ) as unknown as ServiceHead;
@@ -97,14 +98,14 @@
 ): Record<string, NamedPatch<TargetSpec>> {
   const patches: Record<string, NamedPatch<TargetSpec>> = {};
   for (const service of after.services) {
-    const known = before.services.find((other) => other.name === service.name);
-    const patch = diffNamed(known?.targets ?? [], service.targets);
+    const previous = before.services.find((other) => other.name === service.name);
+    const patch = diffNamed(previous?.targets ?? [], service.targets);
     if (patch.names !== null || patch.changed.length > 0) patches[service.name] = patch;
   }
   return patches;
 }
 
-/** The patch from one document to a later one. */
+/** Returns the patch from one document to a later one. */
 export function diffConfigurations(
   before: MemberConfiguration,
   after: MemberConfiguration,
@@ -118,7 +119,10 @@
     editId: after.editId,
     editedAtMs: after.editedAtMs,
     editedBy: after.editedBy,
-    services: diffNamed(before.compiled.services.map(headOf), after.compiled.services.map(headOf)),
+    services: diffNamed(
+      before.compiled.services.map(withoutTargets),
+      after.compiled.services.map(withoutTargets),
+    ),
     targets: targetPatches(before.compiled, after.compiled),
     workspaces: diffNamed(before.compiled.workspaces, after.compiled.workspaces),
     limits: sameLimits ? null : after.compiled.limits,
@@ -131,14 +135,17 @@
   head: ServiceHead,
   patch: ConfigurationPatch,
 ): ServiceSpec {
-  const known = before.services.find((service) => service.name === head.name);
-  const targets = known?.targets ?? [];
+  const previous = before.services.find((service) => service.name === head.name);
+  const targets = previous?.targets ?? [];
   const targetPatch = patch.targets[head.name];
   const patched = targetPatch === undefined ? targets : applyNamed(targets, targetPatch);
   return { ...head, targets: [...patched] };
 }
 
-/** Applies a patch. Errors: `configuration-patch-mismatch` when it does not fit. */
+/**
+ * Applies a patch to a document. Errors: `configuration-patch-mismatch` when the patch starts from
+ * another version or the result does not have the expected hash.
+ */
 export function applyPatch(
   before: MemberConfiguration,
   patch: ConfigurationPatch,
@@ -146,9 +153,9 @@
 ): Result<MemberConfiguration, Failure> {
   const mismatch = patchMismatch.of({ fromVersion: patch.fromVersion, toVersion: patch.version });
   if (before.version !== patch.fromVersion) return err(mismatch);
-  const heads = applyNamed(before.compiled.services.map(headOf), patch.services);
+  const services = applyNamed(before.compiled.services.map(withoutTargets), patch.services);
   const compiled: Configuration = {
-    services: heads.map((head) => patchedService(before.compiled, head, patch)),
+    services: services.map((head) => patchedService(before.compiled, head, patch)),
     workspaces: applyNamed(before.compiled.workspaces, patch.workspaces),
     limits: patch.limits ?? before.compiled.limits,
   };
--- a/packages/coordination/src/core/config/editor.ts
+++ b/packages/coordination/src/core/config/editor.ts
@@ -1,7 +1,8 @@
 /**
- * The operators' side of the configuration, used by the command line: an edit is accepted by one
- * compare-and-swap from the version that it was made from. An answer that was lost is made up for by
- * reading back and looking for the edit's own id; sending the same edit again applies it at most once.
+ * Submits an operator's edit of the configuration; used by the command line. An edit is accepted by
+ * one compare-and-swap against the version that it was made from. After a lost answer, the editor
+ * reads the head key and looks for its edit id, so sending the same edit again applies it at most
+ * once.
  */
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
@@ -17,13 +18,13 @@
   prunedVersion,
 } from './keys.js';
 
-/** An edit as the command line prepared it. */
+/** An edit of the configuration, as prepared by the command line. */
 export interface ConfigurationEdit extends Omit<ConfigurationDocument, 'version'> {
-  /** The version that the operator saw; 0 for the first configuration of a deployment. */
+  /** The version that the operator edited; 0 for the first configuration of a deployment. */
   readonly baseVersion: number;
 }
 
-/** One key as read, or null when absent. */
+/** The value and revision of a key that was read, or null when the key is absent. */
 export type ReadKey = { readonly value: string; readonly modRevision: number } | null;
 
 /** Kinds of editor effects. */
@@ -36,7 +37,7 @@
   Done = 'done',
 }
 
-/** An effect of an edit; `waitMs` is to pass before it is performed. */
+/** An effect of an edit, to be performed after `waitMs` where it has one. */
 export type EditEffect =
   | { readonly kind: EditEffectKind.ReadKeys; readonly waitMs: number }
   | {
@@ -50,21 +51,22 @@
 /** The state of one edit. */
 export interface EditState {
   readonly edit: ConfigurationEdit;
-  /** Calls that failed so far; the edit ends when there are too many. */
+  /** Number of failed calls; the edit ends after {@link MAX_FAILED_CALLS}. */
   failedCalls: number;
-  /** Whether a transaction was sent, so that its effect has to be reckoned with. */
+  /** Whether a transaction was sent, which may have taken effect even if its answer was lost. */
   submitted: boolean;
+  /** Whether the head key is checked for this edit's id before the edit is submitted. */
   readonly readsBack: boolean;
 }
 
-/** Calls that may fail before the edit gives up; with the waits, about 20 seconds. */
+/** Failed calls after which the edit gives up: about 20 seconds, including the waits. */
 const MAX_FAILED_CALLS = 8;
 
-/** The first wait after a failed call; doubled up to {@link MAX_WAIT_MS}. */
+/** Base of the exponential backoff after failed calls, which is capped at {@link MAX_WAIT_MS}. */
 const FIRST_WAIT_MS = 100;
 const MAX_WAIT_MS = 4_000;
 
-/** Begins an edit. `readsBack` is a guard; only the fuzzer passes false. */
+/** Starts an edit. Only the fuzzer passes false for `readsBack`, to test that the check matters. */
 export function startEdit(
   edit: ConfigurationEdit,
   readsBack = true,
@@ -90,24 +92,24 @@
   return [{ kind: EditEffectKind.ReadKeys, waitMs: boundMs * (0.5 + random() / 2) }];
 }
 
-/** Reading the keys failed. */
+/** Handles a failed read of the keys. */
 export function keysReadFailed(state: EditState, random: () => number): EditEffect[] {
   return callFailed(state, random);
 }
 
-/** Whether the history names every edit after the base, so that absence proves rejection. */
-function historyReaches(head: ConfigurationHead, baseVersion: number): boolean {
+/** Returns whether the head lists every edit since the base, so that absence proves rejection. */
+function coversEditsSince(head: ConfigurationHead, baseVersion: number): boolean {
   return head.version - baseVersion <= REMEMBERED_EDITS;
 }
 
-function decideOnNewer(
+function rejectOutdatedEdit(
   state: EditState,
   head: ConfigurationHead,
   document: ConfigurationDocument | null,
 ): EditEffect[] {
   const { editId, baseVersion } = state.edit;
   const currentVersion = head.version;
-  if (!historyReaches(head, baseVersion)) {
+  if (!coversEditsSince(head, baseVersion)) {
     return done(err(editUnknown.of({ editId, currentVersion })));
   }
   const currentText = document?.text ?? '';
@@ -141,7 +143,7 @@
   ];
 }
 
-/** Decides on what the service holds: already accepted, conflict, or (again) to be sent. */
+/** Decides from the stored keys whether the edit was accepted, conflicts, or has to be submitted. */
 export function keysRead(
   state: EditState,
   keys: { readonly head: ReadKey; readonly document: ReadKey },
@@ -152,7 +154,7 @@
   if (accepted !== undefined && state.readsBack) return done(ok(accepted.version));
   if (head !== null && head.version !== baseVersion) {
     const document = keys.document === null ? null : parseDocument(keys.document.value);
-    return decideOnNewer(state, head, document);
+    return rejectOutdatedEdit(state, head, document);
   }
   if (head === null && baseVersion !== 0) {
     const data = { baseVersion, currentVersion: 0, currentText: '' };
@@ -161,7 +163,10 @@
   return submit(state, head, keys);
 }
 
-/** The transaction was answered. A refusal may be the echo of an own earlier success: read back. */
+/**
+ * Handles the answer to the transaction. A failed compare may be caused by an earlier attempt of the
+ * same edit that succeeded, so the keys are read again.
+ */
 export function transactAnswered(
   state: EditState,
   succeeded: boolean,
@@ -171,7 +176,10 @@
   return callFailed(state, random);
 }
 
-/** The transaction's answer was lost: it may have taken effect, now or later. Read back. */
+/**
+ * Handles a lost answer to the transaction. The transaction may have taken effect or may still do
+ * so, so the keys are read again.
+ */
 export function transactFailed(state: EditState, random: () => number): EditEffect[] {
   return callFailed(state, random);
 }
--- a/packages/coordination/src/core/config/effects.ts
+++ b/packages/coordination/src/core/config/effects.ts
@@ -1,4 +1,4 @@
-/** What keeping the configuration asks its process to do, and the context it decides in. */
+/** Defines the effects that configuration sync requests from its process, and its input context. */
 import type { UnstampedEvent } from '../events/event.js';
 import type { Hash32 } from '../hashing/hashing.js';
 import type { Random } from '../random/random.js';
@@ -6,9 +6,9 @@
 
 /** Kinds of configuration effects. */
 export enum ConfigEffectKind {
-  /** Act on this configuration from now on. */
+  /** Make this configuration the active one. */
   PutInForce = 'put-in-force',
-  /** Send the notification `config.announce` with `[version]` as one datagram. */
+  /** Send the notification `config.announce` with the parameters `[version]` as one datagram. */
   Announce = 'announce',
   /** Call `config.fetch`; feed `configFetchAnswered` or `configFetchFailed`. */
   Fetch = 'fetch',
@@ -19,24 +19,24 @@
   /** Watch the head key; feed each change to `configHeadChanged` and the end to `configWatchEnded`. */
   Watch = 'watch',
   StopWatch = 'stop-watch',
-  /** Whether new work may be taken changed; running work goes on either way. */
+  /** Allow or stop accepting new work; running work continues either way. */
   NewWork = 'new-work',
   Emit = 'emit',
 }
 
-/** What is asked of a peer. */
+/** The parameters of a `config.fetch` call to a peer. */
 export interface FetchRequest {
-  /** 0 when nothing is held. */
+  /** The active version of the requester, or 0 when it has none. */
   readonly haveVersion: number;
 }
 
-/** What a peer answers: patches in order when it can bridge the gap, else everything. */
+/** A peer's answer: patches in order if it has all that are needed, else the whole document. */
 export interface FetchAnswer {
   readonly patches: readonly ConfigurationPatch[] | null;
   readonly whole: MemberConfiguration | null;
 }
 
-/** An effect of keeping the configuration. */
+/** An effect of configuration sync. */
 export type ConfigEffect =
   | {
       readonly kind: ConfigEffectKind.PutInForce;
@@ -63,18 +63,18 @@
     }
   | { readonly kind: ConfigEffectKind.Emit; readonly event: UnstampedEvent };
 
-/** What keeping the configuration needs from its process at each step. */
+/** The input that configuration sync needs from its process at each step. */
 export interface ConfigContext {
   readonly nowMs: number;
   readonly random: Random;
   readonly hash32: Hash32;
   readonly selfId: string;
-  /** Whether this member is the watcher of its failure domain, by rendezvous over its members. */
+  /** Whether this member is the watcher of its failure domain, chosen by rendezvous hashing. */
   readonly isWatcher: () => boolean;
-  /** A random peer that is alive, or null. */
+  /** Returns a random live peer, or null when there is none. */
   readonly pickPeer: () => string | null;
-  /** Whether the member at this control address is seen alive, leaving counted as alive. */
+  /** Whether the member at this control address is seen as alive; leaving members count as alive. */
   readonly sees: (id: string) => boolean;
-  /** Share, 0 to 1, of this member's recent probes that were answered, whoever they went to. */
+  /** Share, 0 to 1, of this member's recent probes to any member that were answered. */
   readonly answeredRatio: () => number;
 }
--- a/packages/coordination/src/core/config/failures.ts
+++ b/packages/coordination/src/core/config/failures.ts
@@ -1,4 +1,4 @@
-/** Failures of keeping and editing the configuration. */
+/** Failures of configuration sync and of configuration edits. */
 import { defineFailure } from '../failures/failure.js';
 
 /** Another edit was accepted first. */
@@ -11,7 +11,7 @@
   hint: 'Look at the difference, repeat the edit on the current text and send it again.',
 });
 
-/** The outcome of an edit can no longer be told. */
+/** The outcome of an edit cannot be determined. */
 export const editUnknown = defineFailure({
   name: 'edit-unknown',
   title: 'Whether the edit was accepted is not known',
@@ -23,7 +23,7 @@
   hint: 'Run the same command again with the same edit id: it applies the edit at most once.',
 });
 
-/** No document to give. */
+/** This process has no document newer than the requested one. */
 export const configurationNotHeld = defineFailure({
   name: 'configuration-not-held',
   title: 'This process holds no configuration yet',
@@ -32,7 +32,7 @@
   hint: 'Nothing to do: the asker tries another member.',
 });
 
-/** A patch did not lead to the document it promised. */
+/** Applying a patch did not produce the expected document. */
 export const patchMismatch = defineFailure({
   name: 'configuration-patch-mismatch',
   title: 'A configuration patch did not fit',
--- a/packages/coordination/src/core/config/head.ts
+++ b/packages/coordination/src/core/config/head.ts
@@ -1,22 +1,22 @@
 /**
- * The two keys of the configuration. The document may reach a megabyte, so members that watch it
- * would spend their budget on reading it again and again; a small head key, written by the same
- * transaction, says which version is in force and which edits led to it.
+ * Reads and writes the values of the configuration's two keys. The document may reach a megabyte,
+ * and watching it would make members read all of it for every event. A small head key, written by
+ * the same transaction, therefore names the current version and the edits that led to it.
  */
 import type { ConfigurationDocument } from '../model/configuration.js';
 
-/** Edits remembered in the head: an editor whose answer was lost finds its edit among these. */
+/** Number of recent edits listed in the head, where an editor looks for its edit after a lost answer. */
 export const REMEMBERED_EDITS = 64;
 
-/** What the head key holds, as JSON. */
+/** The value of the head key, stored as JSON. */
 export interface ConfigurationHead {
   readonly version: number;
   readonly editId: string;
-  /** Latest first, this edit included; at most {@link REMEMBERED_EDITS}. */
+  /** Latest first, including the current edit; at most {@link REMEMBERED_EDITS}. */
   readonly recentEdits: readonly { readonly version: number; readonly editId: string }[];
 }
 
-/** The head that belongs to the document after `previous`. */
+/** Returns the head for `document`, which follows the head `previous`. */
 export function headAfter(
   previous: ConfigurationHead | null,
   document: ConfigurationDocument,
@@ -30,7 +30,7 @@
   return typeof value === 'number' && Number.isSafeInteger(value) && value >= 1;
 }
 
-/** Reads a head key's value; null when it is not one. */
+/** Parses the value of the head key; returns null when it is malformed. */
 export function parseHead(value: string): ConfigurationHead | null {
   const parsed = parseObject(value);
   if (parsed === null || !isVersion(parsed['version']) || typeof parsed['editId'] !== 'string') {
@@ -39,7 +39,7 @@
   return Array.isArray(parsed['recentEdits']) ? (parsed as unknown as ConfigurationHead) : null;
 }
 
-/** Reads the document key's value; null when it is not one. */
+/** Parses the value of the document key; returns null when it is malformed. */
 export function parseDocument(value: string): ConfigurationDocument | null {
   const parsed = parseObject(value);
   if (parsed === null || !isVersion(parsed['version']) || typeof parsed['editId'] !== 'string') {
--- a/packages/coordination/src/core/config/index.ts
+++ b/packages/coordination/src/core/config/index.ts
@@ -1,4 +1,7 @@
-/** Configuration: one version in force everywhere, changed by compare-and-swap, never reverting. */
+/**
+ * Spreads the operators' configuration to all members. Versions are changed by compare-and-swap, and
+ * a process never reverts to an older one.
+ */
 export { serveConfigFetch, versionInForce } from './adopting.js';
 export { seenRatio } from './cut-off.js';
 export type { ConfigurationPatch, MemberConfiguration } from './document.js';
--- a/packages/coordination/src/core/config/keeper.ts
+++ b/packages/coordination/src/core/config/keeper.ts
@@ -1,20 +1,26 @@
 /**
- * The member's side of the configuration: one watcher per failure domain follows the key-value
- * service, everybody else hears of a version from peers and fetches it from whoever has it. The
- * age of the last proof that nothing newer exists travels in answers to probes.
+ * Keeps a member's configuration up to date. One watcher per failure domain follows the key-value
+ * service; all other members learn of a version from peers and fetch it from a peer that has it.
+ * Answers to probes carry the age of the last proof that no newer version exists.
  */
 import type { ConfigurationDocument } from '../model/configuration.js';
 import { EventKind } from '../events/event.js';
 import { waitAfterFailuresMs } from '../retries/retries.js';
-import { adopt, noteFresh, noteVersion, takeAnswer, versionInForce } from './adopting.js';
-import { judgeNewWork, seesEnough } from './cut-off.js';
+import {
+  applyConfiguration,
+  recordFreshness,
+  recordHolder,
+  applyFetchAnswer,
+  versionInForce,
+} from './adopting.js';
+import { updateNewWork, seesEnoughTargets } from './cut-off.js';
 import { withoutText } from './document.js';
 import type { ConfigContext, ConfigEffect, FetchAnswer } from './effects.js';
 import { ConfigEffectKind } from './effects.js';
 import type { ConfigurationHead } from './head.js';
 import type { ConfigState } from './state.js';
 
-/** Stands in the hints for "no freshness known". */
+/** Age sent in the hints by a member that has no proof of freshness. */
 const UNKNOWN_AGE = -1;
 
 function backOffMs(state: ConfigState, failures: number, context: ConfigContext): number {
@@ -23,20 +29,21 @@
 }
 
 /**
- * The service is asked by watchers, and by a process that would otherwise stop: one that never had
- * fresh news, or lost it together with the sight of half of the targets. In an outage that nobody
- * else noticed, 1,140 processes therefore do not all knock at the service.
+ * Returns whether this process may read from the key-value service. Watchers may, and so may a
+ * process that would otherwise stop accepting work: one that never had proof of freshness, or whose
+ * proof is old while it sees less than half of the targets. This keeps 1,140 processes from all
+ * calling the service during an outage.
  */
-function mayAskService(state: ConfigState, context: ConfigContext): boolean {
+function mayReadService(state: ConfigState, context: ConfigContext): boolean {
   if (context.isWatcher() || state.freshAtMs === null) return true;
   const ageMs = context.nowMs - state.freshAtMs;
-  return ageMs > state.options.cutOffMs / 2 && !seesEnough(state, context);
+  return ageMs > state.options.cutOffMs / 2 && !seesEnoughTargets(state, context);
 }
 
-function continueReading(state: ConfigState, context: ConfigContext): ConfigEffect[] {
+function continueHeadReads(state: ConfigState, context: ConfigContext): ConfigEffect[] {
   if (state.headReadSentAtMs !== null || context.nowMs < state.headReadAtMs) return [];
   state.headReadAtMs = context.nowMs + state.options.headReadIntervalMs;
-  if (!mayAskService(state, context)) return [];
+  if (!mayReadService(state, context)) return [];
   state.headReadSentAtMs = context.nowMs;
   return [{ kind: ConfigEffectKind.ReadHead }];
 }
@@ -68,54 +75,55 @@
   return [{ kind: ConfigEffectKind.Fetch, to: from, request }];
 }
 
-/** Does whatever is due; call it at least once a second and after each input. */
+/** Performs all due work. Must be called at least once a second and after each input. */
 export function tickConfig(state: ConfigState, context: ConfigContext): ConfigEffect[] {
   return [
     ...continueWatching(state, context),
-    ...continueReading(state, context),
+    ...continueHeadReads(state, context),
     ...continueFetching(state, context),
-    ...judgeNewWork(state, context),
+    ...updateNewWork(state, context),
   ];
 }
 
-/** The hints to send with probes and answers: the version in force and the age of its freshness. */
+/** Returns the hints to send with probes and answers: `[active version, age of its freshness in ms]`. */
 export function configHints(state: ConfigState, nowMs: number): readonly [number, number] {
   const ageMs = state.freshAtMs === null ? UNKNOWN_AGE : Math.ceil(nowMs - state.freshAtMs);
   return [versionInForce(state), ageMs];
 }
 
 /**
- * Hints of a peer. Failure guarded against: a datagram that was delayed for an hour claims to be
- * fresh. An age therefore counts only from the answer to an own question, and from the moment of
- * the question, which is before the answer was written.
+ * Handles a peer's hints. A datagram may be delayed for an hour and still claim to be fresh, so an
+ * age counts only in the answer to this member's own request. It is counted from the time when the
+ * request was sent, which is before the answer was written.
  */
 export function configHintsHeard(
   state: ConfigState,
   from: string,
   hints: readonly number[],
-  askedAtMs: number | null,
+  requestedAtMs: number | null,
   context: ConfigContext,
 ): ConfigEffect[] {
   const [version = 0, ageMs = UNKNOWN_AGE] = hints;
-  noteVersion(state, version, from);
+  recordHolder(state, version, from);
   const { freshnessNeedsOwnQuestion } = state.options.guards;
-  const sinceMs = askedAtMs ?? (freshnessNeedsOwnQuestion ? null : context.nowMs);
-  if (sinceMs !== null && version > 0 && ageMs >= 0) noteFresh(state, version, sinceMs - ageMs);
+  const sinceMs = requestedAtMs ?? (freshnessNeedsOwnQuestion ? null : context.nowMs);
+  if (sinceMs !== null && version > 0 && ageMs >= 0)
+    recordFreshness(state, version, sinceMs - ageMs);
   return continueFetching(state, context);
 }
 
-/** A peer says that it holds a version. */
+/** Handles a peer's announcement that it has a version. */
 export function configAnnounced(
   state: ConfigState,
   from: string,
   version: number,
   context: ConfigContext,
 ): ConfigEffect[] {
-  noteVersion(state, version, from);
+  recordHolder(state, version, from);
   return continueFetching(state, context);
 }
 
-/** A peer's answer to a fetch. */
+/** Handles a peer's answer to a fetch. */
 export function configFetchAnswered(
   state: ConfigState,
   answer: FetchAnswer,
@@ -123,29 +131,33 @@
 ): ConfigEffect[] {
   const from = state.fetch?.from;
   state.fetch = null;
-  const { effects, isMismatch } = takeAnswer(state, answer, context);
+  const { effects, isMismatch } = applyFetchAnswer(state, answer, context);
   if (!isMismatch) return [...effects, ...tickConfig(state, context)];
   if (from === undefined) return [...effects];
-  // Asking as if nothing were held brings the whole document.
+  // A request with version 0 returns the whole document.
   state.fetch = { from, startedAtMs: context.nowMs };
   return [...effects, { kind: ConfigEffectKind.Fetch, to: from, request: { haveVersion: 0 } }];
 }
 
-/** A fetch that failed; another holder is tried. */
+/** Handles a failed fetch; another holder is tried after a backoff. */
 export function configFetchFailed(state: ConfigState, context: ConfigContext): ConfigEffect[] {
   state.fetch = null;
   state.fetchAtMs = context.nowMs + backOffMs(state, 0, context);
   return [];
 }
 
-function wantDocument(state: ConfigState, version: number, context: ConfigContext): ConfigEffect[] {
+function requestDocument(
+  state: ConfigState,
+  version: number,
+  context: ConfigContext,
+): ConfigEffect[] {
   if (!state.options.guards.mayReplace(versionInForce(state), version)) return [];
   if (state.documentReadSentAtMs !== null) return [];
   state.documentReadSentAtMs = context.nowMs;
   return [{ kind: ConfigEffectKind.ReadDocument }];
 }
 
-/** The answer to a read of the head key; null when the key is absent or unreadable. */
+/** Handles the answer to a read of the head key; null when the key is absent or malformed. */
 export function configHeadRead(
   state: ConfigState,
   head: ConfigurationHead | null,
@@ -155,20 +167,20 @@
   state.headReadSentAtMs = null;
   state.failedReads = 0;
   if (head === null || sentAtMs === null) return [];
-  if (head.version < versionInForce(state)) return [doubt(state, head.version)];
-  noteFresh(state, head.version, sentAtMs);
-  return [...wantDocument(state, head.version, context), ...tickConfig(state, context)];
+  if (head.version < versionInForce(state)) return [reportOlderVersion(state, head.version)];
+  recordFreshness(state, head.version, sentAtMs);
+  return [...requestDocument(state, head.version, context), ...tickConfig(state, context)];
 }
 
-/** The service shows an older version than the one in force: it lost data or answers from the past. */
-function doubt(state: ConfigState, shown: number): ConfigEffect {
+/** Reports that the service returned a version older than the active one: it lost data or is stale. */
+function reportOlderVersion(state: ConfigState, shown: number): ConfigEffect {
   const figures = { shown, inForce: versionInForce(state) };
   const reason = 'the key-value service shows an older version than the one in force';
   const event = { kind: EventKind.ConfigurationDoubted, reason, figures };
   return { kind: ConfigEffectKind.Emit, event };
 }
 
-/** A read of the head that failed. */
+/** Handles a failed read of the head key. */
 export function configHeadReadFailed(state: ConfigState, context: ConfigContext): ConfigEffect[] {
   state.headReadSentAtMs = null;
   state.failedReads += 1;
@@ -176,17 +188,17 @@
   return [];
 }
 
-/** A change seen by the watch; it may be missing, repeated or old, so it proves no freshness. */
+/** Handles a watch event. Events may be lost, repeated or old, so they do not prove freshness. */
 export function configHeadChanged(
   state: ConfigState,
   head: ConfigurationHead | null,
   context: ConfigContext,
 ): ConfigEffect[] {
   state.failedWatches = 0;
-  return head === null ? [] : wantDocument(state, head.version, context);
+  return head === null ? [] : requestDocument(state, head.version, context);
 }
 
-/** The watch ended; it is taken up again after a wait that grows with each failure. */
+/** Handles the end of the watch, which is restarted after an exponential backoff. */
 export function configWatchEnded(state: ConfigState, context: ConfigContext): ConfigEffect[] {
   state.watching = false;
   state.failedWatches += 1;
@@ -195,7 +207,7 @@
   return [];
 }
 
-/** The answer to a read of the document key; null when absent or unreadable. */
+/** Handles the answer to a read of the document key; null when it is absent or malformed. */
 export function configDocumentRead(
   state: ConfigState,
   document: ConfigurationDocument | null,
@@ -204,12 +216,12 @@
   const sentAtMs = state.documentReadSentAtMs;
   state.documentReadSentAtMs = null;
   if (document === null || sentAtMs === null) return [];
-  const effects = adopt(state, withoutText(document), null, context);
-  if (document.version >= versionInForce(state)) noteFresh(state, document.version, sentAtMs);
+  const effects = applyConfiguration(state, withoutText(document), null, context);
+  if (document.version >= versionInForce(state)) recordFreshness(state, document.version, sentAtMs);
   return [...effects, ...tickConfig(state, context)];
 }
 
-/** A read of the document that failed; the next head read asks for it again. */
+/** Handles a failed read of the document; the next read of the head key requests it again. */
 export function configDocumentReadFailed(
   state: ConfigState,
   context: ConfigContext,
--- a/packages/coordination/src/core/config/options.ts
+++ b/packages/coordination/src/core/config/options.ts
@@ -1,41 +1,42 @@
-/** The settings of keeping the configuration, each with the reason for its default, and the guards. */
+/** Defines the options of configuration sync and the safety rules that it applies. */
 
-/** Guards; each prevents one failure that the design note names. */
+/** Safety rules of configuration sync; each prevents a failure that the design document describes. */
 export interface ConfigGuards {
-  /** Whether a version may replace the one in force. */
+  /** Whether a version may replace the active one. */
   readonly mayReplace: (inForceVersion: number, version: number) => boolean;
-  /** Whether a process without fresh news and with this share of targets in sight stays at work. */
+  /** Whether a process without proof of freshness that sees this share of targets accepts work. */
   readonly maySeeEnough: (seenRatio: number) => boolean;
-  /** Whether the age of a peer's freshness counts only from an exchange that this member started. */
+  /** Whether a peer's freshness counts only in an exchange that this member started. */
   readonly freshnessNeedsOwnQuestion: boolean;
 }
 
-/** Settings of keeping the configuration. */
+/** Options of configuration sync. */
 export interface ConfigOptions {
-  /** Watchers read the head this often: the bound on a missed watch event. */
+  /** Interval of a watcher's head reads; bounds the delay caused by a missed watch event. */
   readonly headReadIntervalMs: number;
-  /** First and longest wait after a failed call, doubled each time, of which a random part passes. */
+  /** First wait after a failed call; it doubles with each failure and is randomized. */
   readonly backOffMs: number;
+  /** Upper bound of the wait after failed calls. */
   readonly maxBackOffMs: number;
-  /** Peers told at once of a new version; hints on probes reach the others. */
+  /** Number of peers notified at once of a new version; the others learn of it from probe hints. */
   readonly announceFanout: number;
-  /** A fetch without an answer is given up after this. */
+  /** Time after which an unanswered fetch is abandoned. */
   readonly fetchTimeoutMs: number;
-  /** Without fresh news and without half of the targets in sight, new work stops after this. */
+  /** Time without proof of freshness and without seeing half of the targets that stops new work. */
   readonly cutOffMs: number;
-  /** Patches kept to bring peers that lag up to date. */
+  /** Number of recent patches kept to update peers that lag behind. */
   readonly keptPatches: number;
   readonly guards: ConfigGuards;
 }
 
-/** The default guards: all in place. */
+/** The default rules, all enforced. */
 export const CONFIG_GUARDS: ConfigGuards = {
   mayReplace: (inForceVersion, version) => version > inForceVersion,
   maySeeEnough: (seenRatio) => seenRatio >= 0.5,
   freshnessNeedsOwnQuestion: true,
 };
 
-/** The default settings; see docs/design/configuration.md. */
+/** The default options; see docs/design/configuration.md. */
 export const CONFIG_OPTIONS: ConfigOptions = {
   headReadIntervalMs: 3_000,
   backOffMs: 500,
--- a/packages/coordination/src/core/config/state.ts
+++ b/packages/coordination/src/core/config/state.ts
@@ -1,28 +1,29 @@
-/** The state of keeping the configuration in one process. */
+/** Holds the state of configuration sync in one process. */
 import type { ConfigurationPatch, MemberConfiguration } from './document.js';
 import type { ConfigOptions } from './options.js';
 
-/** A version heard of, and some who hold it. */
+/** A newer version, and some of the members that have it. */
 export interface WantedVersion {
   version: number;
   /** At most {@link MAX_HOLDERS}, latest last. */
   holders: string[];
 }
 
-/** Holders remembered for a wanted version; they answer fetches, so a few are enough. */
+/** Limit of holders stored for a wanted version; a few are enough to have a fetch answered. */
 export const MAX_HOLDERS = 8;
 
-/** Everything a process knows of the configuration. */
+/** The configuration state of a process. */
 export interface ConfigState {
   readonly options: ConfigOptions;
   readonly startedAtMs: number;
+  /** The active configuration; null before the first one is applied. */
   inForce: MemberConfiguration | null;
-  /** The latest patches, oldest first, without holes, ending at the version in force. */
+  /** The latest patches, oldest first, without gaps, ending at the active version. */
   readonly patches: ConfigurationPatch[];
   wanted: WantedVersion | null;
   fetch: { readonly from: string; readonly startedAtMs: number } | null;
   fetchAtMs: number;
-  /** Head read under way: when it was sent. */
+  /** When the pending read of the head key was sent; null when none is pending. */
   headReadSentAtMs: number | null;
   documentReadSentAtMs: number | null;
   headReadAtMs: number;
@@ -30,16 +31,19 @@
   watching: boolean;
   watchAtMs: number;
   failedWatches: number;
-  /** The latest moment, on the own clock, at which nothing newer than the version in force existed. */
+  /** The latest time, on the local clock, at which no version newer than the active one existed. */
   freshAtMs: number | null;
-  /** Freshness that begins to count once this version is in force. */
-  freshWhen: { readonly version: number; readonly atMs: number } | null;
-  /** The latest moment at which new work was justified; see the cut-off rule. */
+  /** Proof of freshness that takes effect once this version is active. */
+  pendingFreshness: { readonly version: number; readonly atMs: number } | null;
+  /** The latest time at which accepting new work was justified; see `updateNewWork`. */
   justifiedAtMs: number | null;
   newWorkAllowed: boolean;
 }
 
-/** A process that holds nothing yet. Its first read comes within `backOffMs`, at random. */
+/**
+ * Creates the state of a process without a configuration. Its first read of the head key comes after
+ * a random delay of up to `backOffMs`, so that starting processes do not call the service at once.
+ */
 export function createConfigState(
   options: ConfigOptions,
   context: { readonly nowMs: number; readonly random: () => number },
@@ -61,7 +65,7 @@
     watchAtMs: nowMs,
     failedWatches: 0,
     freshAtMs: null,
-    freshWhen: null,
+    pendingFreshness: null,
     justifiedAtMs: null,
     newWorkAllowed: false,
   };
