--- a/packages/coordination/src/core/config/editor.ts
+++ b/packages/coordination/src/core/config/editor.ts
@@ -10,7 +10,7 @@
 import type { ConfigurationDocument } from '../model/configuration.js';
 import { editConflict, editNotSent, editUnknown } from './failures.js';
 import type { ConfigurationHead } from './head.js';
-import { REMEMBERED_EDITS, headAfter, parseDocument, parseHead } from './head.js';
+import { MAX_RECENT_EDITS, headAfter, parseDocument, parseHead } from './head.js';
 import {
   CONFIGURATION_CURRENT_KEY,
   CONFIGURATION_HEAD_KEY,
@@ -99,7 +99,7 @@
 
 /** Returns whether the head lists every edit since the base, so that absence proves rejection. */
 function coversEditsSince(head: ConfigurationHead, baseVersion: number): boolean {
-  return head.version - baseVersion <= REMEMBERED_EDITS;
+  return head.version - baseVersion <= MAX_RECENT_EDITS;
 }
 
 function rejectOutdatedEdit(
--- a/packages/coordination/src/core/config/head.ts
+++ b/packages/coordination/src/core/config/head.ts
@@ -6,13 +6,13 @@
 import type { ConfigurationDocument } from '../model/configuration.js';
 
 /** Number of recent edits listed in the head, where an editor looks for its edit after a lost answer. */
-export const REMEMBERED_EDITS = 64;
+export const MAX_RECENT_EDITS = 64;
 
 /** The value of the head key, stored as JSON. */
 export interface ConfigurationHead {
   readonly version: number;
   readonly editId: string;
-  /** Latest first, including the current edit; at most {@link REMEMBERED_EDITS}. */
+  /** Latest first, including the current edit; at most {@link MAX_RECENT_EDITS}. */
   readonly recentEdits: readonly { readonly version: number; readonly editId: string }[];
 }
 
@@ -23,7 +23,7 @@
 ): ConfigurationHead {
   const { version, editId } = document;
   const recentEdits = [{ version, editId }, ...(previous?.recentEdits ?? [])];
-  return { version, editId, recentEdits: recentEdits.slice(0, REMEMBERED_EDITS) };
+  return { version, editId, recentEdits: recentEdits.slice(0, MAX_RECENT_EDITS) };
 }
 
 function isVersion(value: unknown): value is number {
--- a/packages/coordination/test/core/config/document.test.ts
+++ b/packages/coordination/test/core/config/document.test.ts
@@ -1,4 +1,4 @@
-/** Patches between configurations. */
+/** Tests the patches between versions of the configuration. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
@@ -44,41 +44,45 @@
     };
   });
 
-function at(version: number, compiled: Configuration): MemberConfiguration {
+function documentAt(version: number, compiled: Configuration): MemberConfiguration {
   return { ...held(version), compiled };
 }
 
 describe('configuration patches', () => {
-  describe('applied to the version they start from', () => {
-    it('give the later document', () => {
+  describe('applied to their base version', () => {
+    it('produce the later document', () => {
       fc.assert(
         fc.property(compiledArbitrary, compiledArbitrary, (before, after) => {
-          const patch = diffConfigurations(at(1, before), at(2, after), testHash32);
+          const patch = diffConfigurations(documentAt(1, before), documentAt(2, after), testHash32);
           const sent: unknown = JSON.parse(JSON.stringify(patch));
-          const patched = applyPatch(at(1, before), sent as typeof patch, testHash32);
-          assert.deepEqual(patched._unsafeUnwrap(), at(2, after));
+          const patched = applyPatch(documentAt(1, before), sent as typeof patch, testHash32);
+          assert.deepEqual(patched._unsafeUnwrap(), documentAt(2, after));
         }),
         { seed: 1 },
       );
     });
 
-    it('cost a few hundred bytes when one target of 730 is withdrawn', () => {
+    it('take less than 1,000 bytes when one target of 730 is withdrawn', () => {
       const before = configuration(730);
       const services = before.services.map((service) => ({
         ...service,
         targets: service.targets.map((target, index) => ({ ...target, withdrawn: index === 7 })),
       }));
-      const patch = diffConfigurations(at(1, before), at(2, { ...before, services }), testHash32);
+      const patch = diffConfigurations(
+        documentAt(1, before),
+        documentAt(2, { ...before, services }),
+        testHash32,
+      );
       assert.ok(JSON.stringify(patch).length < 1_000);
     });
   });
 
   describe('applied to another document', () => {
-    it('are refused by version and by hash', () => {
+    it('are rejected by version and by hash', () => {
       const patch = diffConfigurations(held(1), held(2), testHash32);
       const wrongVersion = applyPatch(held(3), patch, testHash32);
       assert.equal(wrongVersion._unsafeUnwrapErr().name, 'configuration-patch-mismatch');
-      const wrongContent = applyPatch(at(1, configuration(9)), patch, testHash32);
+      const wrongContent = applyPatch(documentAt(1, configuration(9)), patch, testHash32);
       assert.equal(wrongContent._unsafeUnwrapErr().name, 'configuration-patch-mismatch');
     });
   });
--- a/packages/coordination/test/core/config/editor.test.ts
+++ b/packages/coordination/test/core/config/editor.test.ts
@@ -1,4 +1,4 @@
-/** Edits by compare-and-swap against a small in-memory service that can lose answers. */
+/** Tests edits by compare-and-swap against an in-memory key-value service that can lose answers. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { ConfigurationEdit, EditEffect, EditState, ReadKey } from '../../../src/index.js';
@@ -6,7 +6,7 @@
   CONFIGURATION_HEAD_KEY,
   CONFIGURATION_CURRENT_KEY,
   EditEffectKind,
-  REMEMBERED_EDITS,
+  MAX_RECENT_EDITS,
   keysRead,
   keysReadFailed,
   parseDocument,
@@ -26,7 +26,7 @@
 
 type Transaction = Extract<EditEffect, { kind: EditEffectKind.Transact }>;
 
-class Service {
+class KeyValueService {
   readonly keys = new Map<string, { value: string; modRevision: number }>();
   revision = 0;
 
@@ -36,10 +36,10 @@
   }
 
   transact(transaction: Transaction): boolean {
-    const holds = transaction.compares.every(
+    const comparesHold = transaction.compares.every(
       ({ key, modRevision }) => (this.keys.get(key)?.modRevision ?? 0) === modRevision,
     );
-    if (!holds) return false;
+    if (!comparesHold) return false;
     this.revision += 1;
     for (const { key, value } of transaction.writes) {
       if (value === null) this.keys.delete(key);
@@ -48,8 +48,8 @@
     return true;
   }
 
-  /** Performs effects until the edit is over or `interrupt` takes a transaction over. */
-  drive(
+  /** Performs effects until the edit ends. `interrupt` may handle a transaction itself. */
+  run(
     state: EditState,
     effects: readonly EditEffect[],
     interrupt: (transaction: Transaction) => readonly EditEffect[] | null = () => null,
@@ -65,21 +65,21 @@
     throw new RangeError('the edit did not end');
   }
 
-  apply(editId: string, baseVersion: number): ReturnType<Service['drive']> {
+  apply(editId: string, baseVersion: number): ReturnType<KeyValueService['run']> {
     const { state, effects } = startEdit(edit(editId, baseVersion));
-    return this.drive(state, effects);
+    return this.run(state, effects);
   }
 }
 
 describe('editing the configuration', () => {
-  describe('racing operators', () => {
-    it('gives exactly one the next version, and the other a conflict with the present text', () => {
-      const service = new Service();
+  describe('concurrent edits', () => {
+    it('accept exactly one edit and reject the other with the current text', () => {
+      const service = new KeyValueService();
       service.apply('first', 0);
-      const ann = startEdit(edit('ann', 1));
-      const outcome = service.drive(ann.state, ann.effects, (transaction) => {
+      const firstEdit = startEdit(edit('ann', 1));
+      const outcome = service.run(firstEdit.state, firstEdit.effects, (transaction) => {
         service.apply('bold', 1);
-        return transactAnswered(ann.state, service.transact(transaction), random);
+        return transactAnswered(firstEdit.state, service.transact(transaction), random);
       });
       const failure = outcome._unsafeUnwrapErr();
       assert.equal(failure.name, 'edit-conflict');
@@ -88,15 +88,15 @@
   });
 
   /**
-   * An operator's edit takes effect, but the answer is lost; a colleague's edit follows at once. The
-   * command line must say that the edit was accepted: told otherwise, the operator repeats it.
+   * An operator's edit takes effect, but the answer is lost, and another operator's edit follows at
+   * once. The command line must report the edit as accepted; otherwise the operator repeats it.
    */
-  describe('an acceptance that was lost on the way back', () => {
-    it('is found on reading back, also after further edits', () => {
-      const service = new Service();
+  describe('an edit whose answer was lost', () => {
+    it('is found by reading the head key, even after another edit', () => {
+      const service = new KeyValueService();
       service.apply('first', 0);
       const { state, effects } = startEdit(edit('lost', 1));
-      const outcome = service.drive(state, effects, (transaction) => {
+      const outcome = service.run(state, effects, (transaction) => {
         service.transact(transaction);
         service.apply('later', 2);
         return transactFailed(state, random);
@@ -105,7 +105,7 @@
     });
 
     it('is applied once when the edit is sent again', () => {
-      const service = new Service();
+      const service = new KeyValueService();
       service.apply('first', 0);
       assert.equal(service.apply('second', 1)._unsafeUnwrap(), 2);
       assert.equal(service.apply('second', 1)._unsafeUnwrap(), 2);
@@ -113,11 +113,11 @@
       assert.equal(head?.version, 2);
     });
 
-    it('is sent again when it had not taken effect', () => {
-      const service = new Service();
+    it('is sent again when it did not take effect', () => {
+      const service = new KeyValueService();
       const { state, effects } = startEdit(edit('first', 0));
       let lost = false;
-      const outcome = service.drive(state, effects, () => {
+      const outcome = service.run(state, effects, () => {
         if (lost) return null;
         lost = true;
         return transactFailed(state, random);
@@ -125,33 +125,33 @@
       assert.equal(outcome._unsafeUnwrap(), 1);
     });
 
-    it('says unknown when the history no longer reaches back', () => {
-      const service = new Service();
-      for (let version = 0; version < REMEMBERED_EDITS + 5; version += 1) {
+    it('ends as unknown when the head no longer lists it', () => {
+      const service = new KeyValueService();
+      for (let version = 0; version < MAX_RECENT_EDITS + 5; version += 1) {
         service.apply(`edit-${String(version)}`, version);
       }
       const failure = service.apply('edit-0', 0)._unsafeUnwrapErr();
       assert.equal(failure.name, 'edit-unknown');
       const head = parseHead(service.read().head?.value ?? '');
-      assert.equal(head?.recentEdits.length, REMEMBERED_EDITS);
+      assert.equal(head?.recentEdits.length, MAX_RECENT_EDITS);
     });
   });
 
-  describe('an outage', () => {
+  describe('an outage of the key-value service', () => {
     function failAll(state: EditState): EditEffect | undefined {
       let effect: EditEffect | undefined;
       for (let call = 0; call < 8; call += 1) [effect] = keysReadFailed(state, random);
       return effect;
     }
 
-    it('before anything was sent leaves a truthful "not sent"', () => {
+    it('before the transaction was sent ends the edit as not sent', () => {
       const { state } = startEdit(edit('first', 0));
       const effect = failAll(state);
       assert.ok(effect?.kind === EditEffectKind.Done);
       assert.equal(effect.outcome._unsafeUnwrapErr().name, 'edit-not-sent');
     });
 
-    it('after the transaction was sent leaves "unknown", never "not sent"', () => {
+    it('after the transaction was sent ends the edit as unknown, not as not sent', () => {
       const { state } = startEdit(edit('first', 0));
       keysRead(state, { head: null, document: null });
       const effect = failAll(state);
@@ -160,9 +160,9 @@
     });
   });
 
-  describe('what is stored', () => {
-    it('is read back as a document, and anything else is not', () => {
-      const service = new Service();
+  describe('a stored value', () => {
+    it('is parsed as a document or a head only when it is well-formed', () => {
+      const service = new KeyValueService();
       service.apply('first', 0);
       assert.equal(parseDocument(service.read().document?.value ?? '')?.version, 1);
       for (const value of ['', '[]', '{"version":0,"editId":"x","compiled":{}}', 'null', '{']) {
--- a/packages/coordination/test/core/config/keeper.test.ts
+++ b/packages/coordination/test/core/config/keeper.test.ts
@@ -1,4 +1,4 @@
-/** The member's side of the configuration: adoption, spreading, freshness, the cut-off. */
+/** Tests how a member applies and spreads configurations, and when it stops accepting new work. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { ConfigContext, ConfigEffect, ConfigState } from '../../../src/index.js';
@@ -39,7 +39,7 @@
   };
 }
 
-const blind = { sees: () => false };
+const seesNoMember = { sees: () => false };
 
 function kinds(effects: readonly ConfigEffect[]): ConfigEffectKind[] {
   return effects.map((effect) => effect.kind);
@@ -49,8 +49,8 @@
   return headAfter(null, document(version));
 }
 
-/** A process that holds a version that it read from the service at a moment. */
-function holding(version: number, nowMs: number): ConfigState {
+/** Returns the state of a process that read this version from the key-value service at `nowMs`. */
+function stateHolding(version: number, nowMs: number): ConfigState {
   const state = createConfigState(CONFIG_OPTIONS, context(nowMs));
   tickConfig(state, context(nowMs + 500));
   configHeadRead(state, headOf(version), context(nowMs + 500));
@@ -59,10 +59,10 @@
   return state;
 }
 
-describe('keeping the configuration', () => {
+describe('configuration sync', () => {
   describe('a new version', () => {
-    it('is read by a watcher, put in force and announced to a few peers', () => {
-      const state = holding(1, 0);
+    it('is read by a watcher, applied and announced to peers', () => {
+      const state = stateHolding(1, 0);
       const watcher = context(2_000, { isWatcher: () => true });
       assert.ok(kinds(tickConfig(state, watcher)).includes(ConfigEffectKind.Watch));
       assert.deepEqual(kinds(configHeadChanged(state, headOf(2), watcher)), [
@@ -74,12 +74,12 @@
       assert.equal(versionInForce(state), 2);
     });
 
-    it('is fetched by others from whoever announced it, as a patch', () => {
-      const holder = holding(1, 0);
+    it('is fetched as a patch from the peer that announced it', () => {
+      const holder = stateHolding(1, 0);
       configDocumentRead(holder, document(1), context(1_000));
       configHeadChanged(holder, headOf(2), context(1_000));
       configDocumentRead(holder, document(2), context(1_000));
-      const other = holding(1, 0);
+      const other = stateHolding(1, 0);
       const [fetch] = configAnnounced(other, 'holder:1', 2, context(1_100));
       assert.ok(fetch?.kind === ConfigEffectKind.Fetch && fetch.to === 'holder:1');
       const answer = serveConfigFetch(holder, fetch.request)._unsafeUnwrap();
@@ -88,10 +88,10 @@
       assert.deepEqual(other.inForce, holder.inForce);
     });
 
-    it('is fetched whole when the patch does not fit', () => {
-      const other = holding(1, 0);
+    it('is fetched as a whole document when the patch does not match', () => {
+      const other = stateHolding(1, 0);
       configAnnounced(other, 'holder:1', 3, context(1_100));
-      const holder = holding(2, 0);
+      const holder = stateHolding(2, 0);
       configHeadChanged(holder, headOf(3), context(1_000));
       configDocumentRead(holder, document(3), context(1_000));
       const foreign = serveConfigFetch(holder, { haveVersion: 2 })._unsafeUnwrap();
@@ -102,24 +102,24 @@
       assert.equal(versionInForce(other), 3);
     });
 
-    /** Guards against a version that is in force while the process still acts on the one before. */
-    it('is told of when it is in force and the patch after it does not fit', () => {
-      const other = holding(1, 0);
+    // Without this effect, the process would still act on the version before the active one.
+    it('is reported as applied even when the next patch does not match', () => {
+      const other = stateHolding(1, 0);
       configAnnounced(other, 'holder:1', 3, context(1_100));
       const fitting = diffConfigurations(held(1), held(2), testHash32);
       const foreign = { ...diffConfigurations(held(2), held(3), testHash32), resultHash: 0 };
       const answer = { patches: [fitting, foreign], whole: null };
       const effects = configFetchAnswered(other, answer, context(1_200));
       assert.equal(versionInForce(other), 2);
-      const told = effects.filter((effect) => effect.kind === ConfigEffectKind.PutInForce);
+      const applied = effects.filter((effect) => effect.kind === ConfigEffectKind.PutInForce);
       assert.deepEqual(
-        told.map(({ configuration }) => configuration.version),
+        applied.map(({ configuration }) => configuration.version),
         [2],
       );
     });
 
-    it('is fetched from another holder when the first does not answer', () => {
-      const state = holding(1, 0);
+    it('is fetched from another holder when the first fetch fails', () => {
+      const state = stateHolding(1, 0);
       configAnnounced(state, 'first:1', 2, context(1_000));
       configAnnounced(state, 'second:1', 2, context(1_000));
       configFetchFailed(state, context(1_100));
@@ -131,13 +131,13 @@
   });
 
   /**
-   * An operator's withdrawal is in force as version 2. A fetch answer of version 1 that was delayed
-   * arrives, or the service itself answers from the past after a restore. A process that took it
-   * would give new work to the withdrawn target again.
+   * Version 2, which withdraws a target, is active. A delayed fetch answer with version 1 arrives, or
+   * the service returns version 1 after a restore. A process that applied it would send new work to
+   * the withdrawn target again.
    */
   describe('an old version', () => {
-    it('changes nothing, by whichever way it comes', () => {
-      const state = holding(2, 0);
+    it('is ignored on every path by which it arrives', () => {
+      const state = stateHolding(2, 0);
       const now = context(1_000);
       configAnnounced(state, 'old:1', 1, now);
       configFetchAnswered(state, { patches: null, whole: held(1) }, now);
@@ -147,8 +147,8 @@
       assert.equal(versionInForce(state), 2);
     });
 
-    it('shown by the service is told of and proves no freshness', () => {
-      const state = holding(2, 0);
+    it('returned by the service is reported and does not prove freshness', () => {
+      const state = stateHolding(2, 0);
       const freshAtMs = state.freshAtMs;
       state.headReadSentAtMs = 5_000;
       const effects = configHeadRead(state, headOf(1), context(5_010));
@@ -158,31 +158,31 @@
   });
 
   describe('freshness', () => {
-    it('counts from the moment of the own question, less the age in the answer', () => {
-      const state = holding(1, 0);
+    it('counts from the time of the own request, minus the age in the answer', () => {
+      const state = stateHolding(1, 0);
       configHintsHeard(state, 'peer:1', [1, 2_000], 10_000, context(10_200));
       assert.equal(state.freshAtMs, 8_000);
       assert.deepEqual(configHints(state, 10_500), [1, 2_500]);
     });
 
-    it('of a version that is not held yet counts once it is', () => {
-      const state = holding(1, 0);
+    it('of a newer version counts once that version is active', () => {
+      const state = stateHolding(1, 0);
       configHintsHeard(state, 'peer:1', [2, 0], 10_000, context(10_200));
       assert.equal(state.freshAtMs, 500);
       configFetchAnswered(state, { patches: null, whole: held(2) }, context(10_300));
       assert.equal(state.freshAtMs, 10_000);
     });
 
-    /** A datagram was delayed for an hour and says "fresh half a second ago". */
-    it('is not taken from what came unasked', () => {
-      const state = holding(1, 0);
+    // A datagram that was delayed for an hour claims an age of half a second.
+    it('does not count from a message that was not requested', () => {
+      const state = stateHolding(1, 0);
       configHintsHeard(state, 'peer:1', [1, 500], null, context(3_600_000));
       assert.equal(state.freshAtMs, 500);
     });
   });
 
   describe('the cut-off', () => {
-    function judge(state: ConfigState, fromMs: number, toMs: number, changes = {}): boolean {
+    function tickUntil(state: ConfigState, fromMs: number, toMs: number, changes = {}): boolean {
       for (let nowMs = fromMs; nowMs <= toMs; nowMs += 1_000) {
         state.headReadSentAtMs = null;
         tickConfig(state, context(nowMs, changes));
@@ -190,54 +190,54 @@
       return state.newWorkAllowed;
     }
 
-    it('leaves a process at work through an outage of the service', () => {
-      assert.equal(judge(holding(1, 0), 1_000, 3_600_000), true);
+    it('lets a process accept work during an outage of the service', () => {
+      assert.equal(tickUntil(stateHolding(1, 0), 1_000, 3_600_000), true);
     });
 
-    it('stops a process that is cut off from all news, after the time set', () => {
-      const state = holding(1, 0);
-      assert.equal(judge(state, 1_000, CONFIG_OPTIONS.cutOffMs, blind), true);
-      assert.equal(judge(state, CONFIG_OPTIONS.cutOffMs, 60_000, blind), false);
+    it('stops a process that receives no updates after the configured time', () => {
+      const state = stateHolding(1, 0);
+      assert.equal(tickUntil(state, 1_000, CONFIG_OPTIONS.cutOffMs, seesNoMember), true);
+      assert.equal(tickUntil(state, CONFIG_OPTIONS.cutOffMs, 60_000, seesNoMember), false);
     });
 
     /**
-     * One process of a thousand is cut off. To doubt half of the others one by one takes it a quarter
-     * of an hour, in which it would serve by an old configuration; its own probes tell at once.
+     * One process of a thousand is cut off. It needs a quarter of an hour to suspect half of the
+     * others one by one and would use an old configuration until then. Its own probes fail at once.
      */
-    it('stops a process whose probes fail although it still believes in the others', () => {
-      const state = holding(1, 0);
-      assert.equal(judge(state, 1_000, 120_000, { answeredRatio: () => 0.4 }), false);
+    it('stops a process whose probes fail while it still sees the others as alive', () => {
+      const state = stateHolding(1, 0);
+      assert.equal(tickUntil(state, 1_000, 120_000, { answeredRatio: () => 0.4 }), false);
     });
 
-    it('stops nobody who sees exactly half of the targets', () => {
+    it('does not stop a process that sees exactly half of the targets', () => {
       const sees = (id: string): boolean => id === '10.0.0.1:7000';
-      assert.equal(judge(holding(1, 0), 1_000, 120_000, { sees }), true);
+      assert.equal(tickUntil(stateHolding(1, 0), 1_000, 120_000, { sees }), true);
     });
 
-    it('lets a process that hears fresh news again go on', () => {
-      const state = holding(1, 0);
-      assert.equal(judge(state, 1_000, 60_000, blind), false);
+    it('lets a process continue when it receives proof of freshness again', () => {
+      const state = stateHolding(1, 0);
+      assert.equal(tickUntil(state, 1_000, 60_000, seesNoMember), false);
       configHintsHeard(state, 'peer:1', [1, 1_000], 60_500, context(60_600));
-      assert.equal(judge(state, 61_000, 62_000, blind), true);
+      assert.equal(tickUntil(state, 61_000, 62_000, seesNoMember), true);
     });
 
     /**
      * The service is down, and a process starts whose only peer was cut off before the last edit. It
-     * must not serve by that peer's old document: it sees too few of the targets named there.
+     * must not use that peer's old document, because it sees too few of the targets listed there.
      */
-    it('keeps a starting process idle that finds only a peer that is behind', () => {
+    it('stops a starting process that finds only a peer with an old version', () => {
       const state = createConfigState(CONFIG_OPTIONS, context(0));
       configAnnounced(state, 'behind:1', 1, context(100));
       configFetchAnswered(state, { patches: null, whole: held(1, 8) }, context(200));
       assert.equal(versionInForce(state), 1);
       const sees = (id: string): boolean => id === '10.0.0.1:7000';
-      assert.equal(judge(state, 1_000, 200_000, { sees }), false);
+      assert.equal(tickUntil(state, 1_000, 200_000, { sees }), false);
     });
   });
 
   describe('an outage of the service', () => {
-    it('is answered by waits that grow, up to the longest', () => {
-      const state = holding(1, 0);
+    it('causes waits that grow up to the maximum', () => {
+      const state = stateHolding(1, 0);
       const waits: number[] = [];
       for (let failure = 0; failure < 12; failure += 1) {
         configHeadReadFailed(state, context(0));
@@ -247,14 +247,14 @@
       assert.ok(Math.max(...waits) <= CONFIG_OPTIONS.maxBackOffMs);
     });
 
-    it('makes only watchers ask, while the others see half of the targets', () => {
-      const state = holding(1, 0);
+    it('lets only watchers read while the others see half of the targets', () => {
+      const state = stateHolding(1, 0);
       const effects = tickConfig(state, context(40_000));
       assert.ok(!kinds(effects).includes(ConfigEffectKind.ReadHead));
     });
 
-    it('takes a watch that ended up again', () => {
-      const state = holding(1, 0);
+    it('is followed by a restart of the watch', () => {
+      const state = stateHolding(1, 0);
       const isWatcher = (): boolean => true;
       tickConfig(state, context(1_000, { isWatcher }));
       configWatchEnded(state, context(2_000, { isWatcher }));
@@ -263,9 +263,9 @@
     });
   });
 
-  describe('bounds', () => {
-    it('keeps few holders and few patches, and answers a peer that lags too far with everything', () => {
-      const state = holding(1, 0);
+  describe('limits', () => {
+    it('bound the stored holders and patches; a peer that lags too far gets the whole document', () => {
+      const state = stateHolding(1, 0);
       for (let holder = 0; holder < 100; holder += 1) {
         configAnnounced(state, `holder-${String(holder)}:1`, 99, context(1_000));
       }
@@ -276,8 +276,8 @@
       }
       assert.equal(state.patches.length, CONFIG_OPTIONS.keptPatches);
       assert.equal(serveConfigFetch(state, { haveVersion: 2 })._unsafeUnwrap().patches, null);
-      const refusal = serveConfigFetch(state, { haveVersion: 59 })._unsafeUnwrapErr();
-      assert.equal(refusal.name, 'configuration-not-held');
+      const notHeld = serveConfigFetch(state, { haveVersion: 59 })._unsafeUnwrapErr();
+      assert.equal(notHeld.name, 'configuration-not-held');
     });
   });
 });
