--- a/packages/coordination/src/core/drain/drain.ts
+++ b/packages/coordination/src/core/drain/drain.ts
@@ -1,33 +1,33 @@
 /**
- * One drain: of an entry or sidecar that shuts down, or of a target whose role changes. New work
- * goes on being taken until everybody who sends it has had time to notice, then the running work is
- * waited for, and what is left near the deadline is handed over to where it goes on. Nothing is cut:
- * a drain is over only after new work is refused, so that none is taken by what is about to end.
+ * Drains an entry or sidecar that shuts down, or a target whose role changes. New work is accepted
+ * until its senders have had time to notice the drain. Running work may then finish, and what remains
+ * at the deadline is handed over to another process. A drain ends only after new work is rejected, so
+ * no work is accepted by a process that is about to end.
  */
 
-/** Where a drain stands. */
+/** Phases of a drain. */
 export enum DrainPhase {
   Serving = 'serving',
-  /** Announced; work that was already on its way is still taken. */
+  /** Announced; work that was already in transit is still accepted. */
   Noticed = 'noticed',
-  /** No new work, or only work that ends in time; running work goes on. */
+  /** Accepts no new work, or only work that ends in time; running work continues. */
   Draining = 'draining',
-  /** Running work is being moved to where it goes on. */
+  /** Running work is being handed over to another process. */
   HandingOver = 'handing-over',
   Drained = 'drained',
 }
 
 /** Kinds of drain effects. */
 export enum DrainEffectKind {
-  /** Tell members and the platform's balancer that no new work is wanted. */
+  /** Announce to members and the platform's load balancer that no new work should be sent. */
   AnnounceLeaving = 'announce-leaving',
-  /** Take only work that ends within `drainMs` of the begin. */
+  /** Accept only work that ends within `drainMs` of the start of the drain. */
   LimitAccepting = 'limit-accepting',
-  /** Refuse new work from now on, truthfully as not run. */
+  /** Reject new work from now on, and report it as not run. */
   StopAccepting = 'stop-accepting',
-  /** Move the running work: streams are taken up elsewhere from the tokens already sent. */
+  /** Hand over the running work: streams are resumed elsewhere after the tokens already sent. */
   HandOver = 'hand-over',
-  /** Nothing runs here any more: exit, or give the order that the drain was for. */
+  /** The drain is over: exit, or send the order that required the drain. */
   Drained = 'drained',
 }
 
@@ -42,35 +42,41 @@
     }
   | {
       readonly kind: DrainEffectKind.Drained;
-      /** Work that could not be moved in time; its records outlive the process, its callers retry. */
+      /**
+       * Number of work items that could not be handed over in time. Their records remain after the
+       * process ends, and their callers retry.
+       */
       readonly leftRunning: number;
     };
 
-/** Guards; each prevents one failure that the design note names. */
+/** Safety rules of a drain; each prevents a failure that the design document describes. */
 export interface DrainGuards {
-  /** Whether work that was on its way when the drain began is still taken. */
+  /** Whether work that was in transit when the drain started is still accepted. */
   readonly waitsForNotice: boolean;
-  /** Whether running work is waited for and moved. */
+  /** Whether the drain waits for running work and hands over what remains. */
   readonly waitsForWork: boolean;
 }
 
-/** Settings of a drain. */
+/** Options of a drain. */
 export interface DrainOptions {
-  /** Time until balancer and entries have noticed: membership reaches all within two seconds. */
+  /**
+   * Time for the load balancer and the entries to notice the drain; a membership update reaches all
+   * members within two seconds.
+   */
   readonly noticeMs: number;
-  /** Time that running work may take to end by itself. */
+  /** Time from the start of the drain in which running work may finish. */
   readonly drainMs: number;
-  /** Time for moving what is left. */
+  /** Time for handing over the remaining work after `drainMs`. */
   readonly handOverMs: number;
   /**
-   * Whether work that ends in time is taken while running work is waited for: for a process that
-   * balancers go on sending to where they have no other one.
+   * Whether work that ends in time is accepted while the drain waits for running work. Needed for a
+   * process to which a load balancer keeps sending when it has no other one.
    */
   readonly acceptsWhileDraining: boolean;
   readonly guards: DrainGuards;
 }
 
-/** The default settings; `drainMs` comes from the configuration's limits. */
+/** The default options; `drainMs` is set from the configuration's limits. */
 export const DRAIN_OPTIONS: DrainOptions = {
   noticeMs: 5_000,
   drainMs: 30_000,
@@ -86,18 +92,18 @@
   startedAtMs: number;
 }
 
-/** Nothing is drained yet. */
+/** Creates a drain that has not started. */
 export function createDrain(options: DrainOptions): DrainState {
   return { options, phase: DrainPhase.Serving, startedAtMs: 0 };
 }
 
-/** Whether new work is taken, be it only what ends in time. */
+/** Returns whether new work is accepted, including when only work that ends in time is. */
 export function acceptsWork({ phase, options }: DrainState): boolean {
   if (phase === DrainPhase.Draining) return options.acceptsWhileDraining;
   return phase === DrainPhase.Serving || phase === DrainPhase.Noticed;
 }
 
-/** Begins the drain; a second call changes nothing. */
+/** Starts the drain; later calls have no effect. */
 export function startDrain(state: DrainState, nowMs: number): DrainEffect[] {
   if (state.phase !== DrainPhase.Serving) return [];
   state.phase = DrainPhase.Noticed;
@@ -105,7 +111,7 @@
   return [{ kind: DrainEffectKind.AnnounceLeaving }];
 }
 
-/** Takes the target into service again, after the change or when the change was given up. */
+/** Puts the target back into service after its change was made or abandoned. */
 export function endDrain(state: DrainState): void {
   state.phase = DrainPhase.Serving;
 }
@@ -115,7 +121,7 @@
   return [{ kind: DrainEffectKind.Drained, leftRunning }];
 }
 
-/** Ends the acceptance of new work where the notice has not ended it. */
+/** Rejects new work from now on, unless this was done when the notice period ended. */
 function stopAccepting({ options }: DrainState): DrainEffect[] {
   return options.acceptsWhileDraining ? [{ kind: DrainEffectKind.StopAccepting }] : [];
 }
@@ -129,7 +135,7 @@
   return [...stopAccepting(state), { kind: DrainEffectKind.HandOver }];
 }
 
-/** Moves the drain on; call it about ten times a second and whenever running work ends. */
+/** Advances the drain. Should be called about ten times a second and whenever running work ends. */
 export function tickDrain(state: DrainState, runningWork: number, nowMs: number): DrainEffect[] {
   const { noticeMs, drainMs, handOverMs, guards } = state.options;
   const elapsedMs = nowMs - state.startedAtMs;
@@ -148,8 +154,8 @@
     case DrainPhase.Draining:
       return tickDraining(state, runningWork, elapsedMs);
     case DrainPhase.HandingOver: {
-      const over = elapsedMs >= drainMs + handOverMs;
-      return runningWork === 0 || over ? drained(state, runningWork) : [];
+      const isOverdue = elapsedMs >= drainMs + handOverMs;
+      return runningWork === 0 || isOverdue ? drained(state, runningWork) : [];
     }
   }
 }
--- a/packages/coordination/src/core/drain/failures.ts
+++ b/packages/coordination/src/core/drain/failures.ts
@@ -1,7 +1,7 @@
-/** Failures of planned change. */
+/** Failures of planned changes. */
 import { defineFailure } from '../failures/failure.js';
 
-/** More changes are asked for than are kept. */
+/** The limit of queued change requests is reached. */
 export const tooManyChanges = defineFailure({
   name: 'too-many-changes',
   title: 'Too many planned changes are waiting',
--- a/packages/coordination/src/core/drain/planned-changes.ts
+++ b/packages/coordination/src/core/drain/planned-changes.ts
@@ -1,8 +1,8 @@
 /**
- * Which planned changes may begin now. The planner of a service asks before it drains a target, so
- * that several changes together never take a service below its floor, nor a service away from under
- * those that depend on it. What cannot be put off, such as a VM that leaves anyway, begins at once
- * and is counted, so that others wait for it.
+ * Decides which planned changes may start. The planner of a service calls this before it drains a
+ * target, so that concurrent changes never take a service below its floor, the minimum number of
+ * serving targets, or remove a service that others still depend on. A change that cannot be delayed,
+ * such as the departure of a VM, starts at once and counts against the floor, so others wait for it.
  */
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
@@ -17,60 +17,63 @@
   Replacement = 'replacement',
 }
 
-/** A change that someone wants. */
+/** A request to take a target out of service. */
 export interface ChangeRequest {
   readonly id: string;
   readonly kind: ChangeKind;
   readonly service: string;
   readonly target: string;
-  /** The target goes away whatever is decided. */
+  /** Whether the target leaves regardless of the decision. */
   readonly forced: boolean;
   readonly askedAtMs: number;
 }
 
-/** A target as the planner sees it. */
-export interface TargetStanding {
+/** The state of a target, as known to the planner. */
+export interface TargetSnapshot {
   readonly name: string;
   readonly failureDomain: string;
-  /** Takes new work now. */
+  /** Whether the target accepts new work. */
   readonly serving: boolean;
 }
 
-/** A service as the planner sees it. */
-export interface ServiceStanding {
+/** The state of a service and its targets, as known to the planner. */
+export interface ServiceSnapshot {
   readonly name: string;
   readonly dependsOn: readonly string[];
   readonly floorTargets: number;
-  /** No longer in the configuration: goes away once nobody depends on it. */
+  /** Whether the service was deleted from the configuration; it stops once no service depends on it. */
   readonly removed: boolean;
-  readonly targets: readonly TargetStanding[];
+  readonly targets: readonly TargetSnapshot[];
 }
 
-/** Why a change waits. */
+/** Reasons why a change has to wait. */
 export enum WaitReason {
   Floor = 'floor',
-  /** Another failure domain of the service is being changed. */
+  /** A target in another failure domain of the service is being changed. */
   OtherDomain = 'other-domain',
   Dependents = 'dependents',
   UnknownTarget = 'unknown-target',
 }
 
-/** The decision on all requests. */
+/** The decision on all change requests. */
 export interface ChangeDecision {
   readonly admitted: readonly ChangeRequest[];
   readonly waiting: readonly { readonly request: ChangeRequest; readonly reason: WaitReason }[];
 }
 
-/** Whether a change leaves enough targets; a guard. */
+/** A rule that decides whether a change leaves enough serving targets. */
 export type KeepsFloor = (servingAfter: number, floorTargets: number) => boolean;
 
-/** The guard in place. */
+/** The default rule: at least `floorTargets` targets keep serving. */
 export const keepsFloor: KeepsFloor = (servingAfter, floorTargets) => servingAfter >= floorTargets;
 
-/** Bound on the requests that are kept. */
+/** Maximum number of queued change requests. */
 export const MAX_CHANGES = 1_024;
 
-/** Adds a request. Errors: `too-many-changes`. Asked for again, it keeps its place. */
+/**
+ * Adds a change request; a request whose id is already queued changes nothing. Errors:
+ * `too-many-changes`.
+ */
 export function addChange(
   requests: Map<string, ChangeRequest>,
   request: ChangeRequest,
@@ -83,96 +86,98 @@
   return ok(null);
 }
 
-/** Services that still take work and depend on this one. */
-function servingDependents(service: string, services: readonly ServiceStanding[]): string[] {
+/** Returns the names of the services that depend on this one and still accept work. */
+function servingDependents(service: string, services: readonly ServiceSnapshot[]): string[] {
   return services
     .filter((other) => other.dependsOn.includes(service))
     .filter((other) => other.targets.some((target) => target.serving))
     .map((other) => other.name);
 }
 
-function floorOf(service: ServiceStanding, services: readonly ServiceStanding[]): number {
+function floorOf(service: ServiceSnapshot, services: readonly ServiceSnapshot[]): number {
   if (!service.removed) return service.floorTargets;
-  // A removed service keeps serving until the last of its dependents has been drained.
+  // A removed service must keep serving until the last of its dependents is drained.
   return servingDependents(service.name, services).length === 0
     ? 0
     : Math.max(1, service.floorTargets);
 }
 
-/** What is left of a service while requests are admitted one after the other. */
-interface Remaining {
-  readonly service: ServiceStanding;
+/** The remaining capacity of a service while requests are admitted one by one. */
+interface RemainingService {
+  readonly service: ServiceSnapshot;
   readonly floorTargets: number;
   readonly serving: Set<string>;
-  /** Failure domain of the changes admitted so far. */
+  /** Failure domain of the changes in progress or admitted so far; null when there are none. */
   domain: string | null;
 }
 
-function admit(remaining: Remaining, target: TargetStanding): void {
+function admit(remaining: RemainingService, target: TargetSnapshot): void {
   remaining.serving.delete(target.name);
   remaining.domain ??= target.failureDomain;
 }
 
-function reasonToWait(
-  remaining: Remaining,
-  target: TargetStanding,
+function findWaitReason(
+  remaining: RemainingService,
+  target: TargetSnapshot,
   guard: KeepsFloor,
 ): WaitReason | null {
   if (!remaining.serving.has(target.name)) return null;
   const { service, floorTargets, domain } = remaining;
   if (!guard(remaining.serving.size - 1, floorTargets)) {
-    const heldByDependents = service.removed && floorTargets > 0;
-    return heldByDependents ? WaitReason.Dependents : WaitReason.Floor;
+    const isHeldByDependents = service.removed && floorTargets > 0;
+    return isHeldByDependents ? WaitReason.Dependents : WaitReason.Floor;
   }
-  // Changes in two domains at once would leave no whole domain to fail over to.
+  // Concurrent changes in two failure domains could leave no intact domain to fail over to.
   if (!service.removed && domain !== null && domain !== target.failureDomain) {
     return WaitReason.OtherDomain;
   }
   return null;
 }
 
-function byUrgency(one: ChangeRequest, other: ChangeRequest): number {
+function compareUrgency(one: ChangeRequest, other: ChangeRequest): number {
   if (one.forced !== other.forced) return one.forced ? -1 : 1;
   return one.askedAtMs - other.askedAtMs || (one.id < other.id ? -1 : 1);
 }
 
 /**
- * Decides on all requests together, the admitted ones of earlier decisions included: ask with
- * `underWay` naming the targets whose change has begun; they are counted and not asked about again.
+ * Decides on all queued requests together. `changingTargets` names those whose change was admitted
+ * earlier and is in progress: they count as not serving, and their requests are skipped.
  */
 export function admitChanges(
-  services: readonly ServiceStanding[],
+  services: readonly ServiceSnapshot[],
   requests: readonly ChangeRequest[],
-  underWay: ReadonlySet<string>,
+  changingTargets: ReadonlySet<string>,
   guard: KeepsFloor = keepsFloor,
 ): ChangeDecision {
-  const remaining = new Map<string, Remaining>();
+  const remaining = new Map<string, RemainingService>();
   for (const service of services) {
-    const serving = service.targets.filter(({ name, serving: is }) => is && !underWay.has(name));
-    const changing = service.targets.find((target) => underWay.has(target.name));
+    const serving = service.targets.filter(
+      ({ name, serving: isServing }) => isServing && !changingTargets.has(name),
+    );
+    const firstChanging = service.targets.find((target) => changingTargets.has(target.name));
     remaining.set(service.name, {
       service,
       floorTargets: floorOf(service, services),
       serving: new Set(serving.map((target) => target.name)),
-      domain: changing?.failureDomain ?? null,
+      domain: firstChanging?.failureDomain ?? null,
     });
   }
   const admitted: ChangeRequest[] = [];
   const waiting: { request: ChangeRequest; reason: WaitReason }[] = [];
-  const open = requests.filter((request) => !underWay.has(request.target));
-  for (const request of open.sort(byUrgency)) {
-    const left = remaining.get(request.service);
-    const target = left?.service.targets.find((known) => known.name === request.target);
-    if (left === undefined || target === undefined) {
+  const pendingRequests = requests.filter((request) => !changingTargets.has(request.target));
+  for (const request of pendingRequests.sort(compareUrgency)) {
+    const remainingService = remaining.get(request.service);
+    const target = remainingService?.service.targets.find((known) => known.name === request.target);
+    if (remainingService === undefined || target === undefined) {
       waiting.push({ request, reason: WaitReason.UnknownTarget });
       continue;
     }
-    const reason = request.forced ? null : reasonToWait(left, target, guard);
+    const reason = request.forced ? null : findWaitReason(remainingService, target, guard);
     if (reason !== null) {
       waiting.push({ request, reason });
       continue;
     }
-    admit(left, target);
+    admit(remainingService, target);
     admitted.push(request);
   }
   return { admitted, waiting };
--- a/packages/coordination/test/core/drain/drain.test.ts
+++ b/packages/coordination/test/core/drain/drain.test.ts
@@ -1,4 +1,4 @@
-/** One drain, step by step. */
+/** Tests the phases of a drain. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
@@ -26,10 +26,10 @@
 
 describe('a drain', () => {
   /**
-   * A process gets SIGTERM. The balancer and other entries go on sending work for a moment; a
-   * process that closed at once would cut or refuse it.
+   * After a process gets SIGTERM, the load balancer and other entries still send it work for a
+   * moment. A process that closed at once would abort or reject this work.
    */
-  it('takes work until senders have had time to notice, even with nothing running', () => {
+  it('accepts work until senders have had time to notice, even when nothing is running', () => {
     const state = started();
     assert.deepEqual(tickDrain(state, 0, DRAIN_OPTIONS.noticeMs - 1), []);
     assert.equal(acceptsWork(state), true);
@@ -45,7 +45,7 @@
     assert.deepEqual(kinds(tickDrain(state, 0, 9_100)), [DrainEffectKind.Drained]);
   });
 
-  it('hands over what is left at the deadline, and waits for that as well', () => {
+  it('hands over the remaining work at the deadline and waits until that is done', () => {
     const state = started();
     tickDrain(state, 2, 5_000);
     assert.deepEqual(kinds(tickDrain(state, 2, 30_000)), [DrainEffectKind.HandOver]);
@@ -53,7 +53,7 @@
     assert.deepEqual(kinds(tickDrain(state, 0, 31_500)), [DrainEffectKind.Drained]);
   });
 
-  it('says how much could not be moved in the end', () => {
+  it('reports how much work could not be handed over', () => {
     const state = started();
     tickDrain(state, 2, 5_000);
     tickDrain(state, 2, 30_000);
@@ -61,7 +61,7 @@
     assert.deepEqual(effects, [{ kind: DrainEffectKind.Drained, leftRunning: 1 }]);
   });
 
-  it('is begun once, and a target serves again after it', () => {
+  it('starts only once, and the target serves again after its end', () => {
     const state = started();
     assert.deepEqual(startDrain(state, 1_000), []);
     endDrain(state);
@@ -69,11 +69,11 @@
     assert.equal(acceptsWork(state), true);
   });
 
-  describe('that takes work while it drains', () => {
+  describe('that accepts work while it waits', () => {
     const options = { ...DRAIN_OPTIONS, acceptsWhileDraining: true };
 
-    // Guards against work that is taken by a process that has counted none and is about to end.
-    it('refuses new work in the step in which it counts none', () => {
+    // Otherwise a process that found no running work could accept some just before it ends.
+    it('rejects new work in the step in which it finds none running', () => {
       const state = createDrain(options);
       startDrain(state, 0);
       const noticed = tickDrain(state, 1, options.noticeMs);
@@ -83,7 +83,7 @@
       assert.deepEqual(kinds(ended), [DrainEffectKind.StopAccepting, DrainEffectKind.Drained]);
     });
 
-    it('refuses new work before it hands over what is left', () => {
+    it('rejects new work before it hands over the remaining work', () => {
       const state = createDrain(options);
       startDrain(state, 0);
       tickDrain(state, 1, options.noticeMs);
@@ -91,7 +91,7 @@
       assert.deepEqual(kinds(late), [DrainEffectKind.StopAccepting, DrainEffectKind.HandOver]);
     });
 
-    it('never ends before new work is refused, whatever runs and whenever it is looked at', () => {
+    it('never ends before new work is rejected, for any running work and tick times', () => {
       const ticks = fc.array(
         fc.record({ runningWork: fc.nat(2), afterMs: fc.nat(options.drainMs) }),
       );
--- a/packages/coordination/test/core/drain/planned-changes.test.ts
+++ b/packages/coordination/test/core/drain/planned-changes.test.ts
@@ -1,8 +1,8 @@
-/** Several planned changes together. */
+/** Tests the admission of concurrent planned changes. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
-import type { ChangeRequest, ServiceStanding } from '../../../src/index.js';
+import type { ChangeRequest, ServiceSnapshot } from '../../../src/index.js';
 import {
   ChangeKind,
   MAX_CHANGES,
@@ -11,7 +11,7 @@
   admitChanges,
 } from '../../../src/index.js';
 
-function service(name: string, targets: number, floorTargets: number): ServiceStanding {
+function service(name: string, targets: number, floorTargets: number): ServiceSnapshot {
   return {
     name,
     dependsOn: [],
@@ -27,47 +27,54 @@
 
 function change(target: string, changes: Partial<ChangeRequest> = {}): ChangeRequest {
   const [name = ''] = target.split('-');
-  const fixed = { kind: ChangeKind.RoleChange, forced: false, askedAtMs: 0 };
-  return { id: target, service: name, target, ...fixed, ...changes };
+  const defaults = { kind: ChangeKind.RoleChange, forced: false, askedAtMs: 0 };
+  return { id: target, service: name, target, ...defaults, ...changes };
 }
 
 const NONE = new Set<string>();
 
 describe('planned changes', () => {
   /**
-   * Three replacements, a role change and a withdrawal are asked for within a second. Each alone is
-   * harmless; begun together they leave the service with no target at all.
+   * Three replacements, a role change and a withdrawal are requested within a second. Each alone is
+   * harmless; started together, they leave the service without any target.
    */
-  describe('together', () => {
-    it('never take a service below its floor, whatever is asked for in whichever order', () => {
-      const asked = fc.array(fc.integer({ min: 0, max: 7 }), { maxLength: 12 });
+  describe('requested together', () => {
+    it('never take a service below its floor, for any requests in any order', () => {
+      const targetIndexes = fc.array(fc.integer({ min: 0, max: 7 }), { maxLength: 12 });
       fc.assert(
-        fc.property(asked, fc.integer({ min: 0, max: 8 }), asked, (indexes, floor, down) => {
-          const whole = service('a', 8, floor);
-          const targets = whole.targets.map((target, index) => ({
-            ...target,
-            serving: !down.includes(index),
-          }));
-          const before = targets.filter((target) => target.serving).length;
-          const requests = indexes.map((index, place) =>
-            change(`a-${String(index)}`, { id: String(place) }),
-          );
-          const { admitted } = admitChanges([{ ...whole, targets }], requests, NONE);
-          const gone = new Set(admitted.map((request) => request.target));
-          const after = targets.filter(({ name, serving }) => serving && !gone.has(name)).length;
-          assert.ok(after >= Math.min(before, floor));
-        }),
+        fc.property(
+          targetIndexes,
+          fc.integer({ min: 0, max: 8 }),
+          targetIndexes,
+          (indexes, floor, down) => {
+            const fullService = service('a', 8, floor);
+            const targets = fullService.targets.map((target, index) => ({
+              ...target,
+              serving: !down.includes(index),
+            }));
+            const before = targets.filter((target) => target.serving).length;
+            const requests = indexes.map((index, position) =>
+              change(`a-${String(index)}`, { id: String(position) }),
+            );
+            const { admitted } = admitChanges([{ ...fullService, targets }], requests, NONE);
+            const admittedTargets = new Set(admitted.map((request) => request.target));
+            const after = targets.filter(
+              ({ name, serving }) => serving && !admittedTargets.has(name),
+            ).length;
+            assert.ok(after >= Math.min(before, floor));
+          },
+        ),
         { seed: 1, numRuns: 500 },
       );
     });
 
-    it('count what is already under way', () => {
-      const underWay = new Set(['a-0']);
-      const { waiting } = admitChanges([service('a', 3, 2)], [change('a-1')], underWay);
+    it('count changes that are already in progress', () => {
+      const changingTargets = new Set(['a-0']);
+      const { waiting } = admitChanges([service('a', 3, 2)], [change('a-1')], changingTargets);
       assert.equal(waiting[0]?.reason, WaitReason.Floor);
     });
 
-    it('keep to one failure domain of a service at a time', () => {
+    it('affect only one failure domain of a service at a time', () => {
       const requests = [change('a-0'), change('a-1'), change('a-3')];
       const { admitted, waiting } = admitChanges([service('a', 9, 1)], requests, NONE);
       assert.deepEqual(
@@ -77,7 +84,7 @@
       assert.equal(waiting[0]?.reason, WaitReason.OtherDomain);
     });
 
-    it('let a target that leaves anyway go first, and make the others wait for it', () => {
+    it('admit a forced change first and make the others wait for it', () => {
       const requests = [change('a-1'), change('a-0', { forced: true, askedAtMs: 9 })];
       const { admitted, waiting } = admitChanges([service('a', 3, 2)], requests, NONE);
       assert.deepEqual(
@@ -87,24 +94,24 @@
       assert.equal(waiting[0]?.request.target, 'a-1');
     });
 
-    it('of an unknown target wait with that reason', () => {
+    it('of an unknown target wait for that reason', () => {
       const { waiting } = admitChanges([service('a', 3, 0)], [change('b-1')], NONE);
       assert.equal(waiting[0]?.reason, WaitReason.UnknownTarget);
     });
   });
 
   describe('dependencies', () => {
-    /** Two services are removed in one edit; requests to the upper one still call the lower one. */
-    it('keep a removed service up until its dependents are drained', () => {
+    // Two services are removed in one edit while requests to the upper one still call the lower one.
+    it('keep a removed service serving until its dependents are drained', () => {
       const lower = { ...service('low', 2, 1), removed: true };
       const upper = { ...service('up', 1, 1), removed: true, dependsOn: ['low'] };
       const requests = [change('low-0'), change('low-1'), change('up-0')];
       const first = admitChanges([lower, upper], requests, NONE);
-      const began = new Set(first.admitted.map((request) => request.target));
-      assert.deepEqual([...began], ['low-0', 'up-0']);
+      const changing = new Set(first.admitted.map((request) => request.target));
+      assert.deepEqual([...changing], ['low-0', 'up-0']);
       assert.equal(first.waiting[0]?.reason, WaitReason.Dependents);
       const idle = upper.targets.map((target) => ({ ...target, serving: false }));
-      const second = admitChanges([lower, { ...upper, targets: idle }], requests, began);
+      const second = admitChanges([lower, { ...upper, targets: idle }], requests, changing);
       assert.deepEqual(
         second.admitted.map((request) => request.target),
         ['low-1'],
@@ -112,14 +119,14 @@
     });
   });
 
-  describe('bounds', () => {
-    it('refuse more requests than are kept, but not one that is kept already', () => {
+  describe('limits', () => {
+    it('reject requests beyond the maximum, but not one that is queued already', () => {
       const requests = new Map<string, ChangeRequest>();
       for (let index = 0; index < MAX_CHANGES; index += 1) {
         assert.ok(addChange(requests, change(`a-${String(index)}`)).isOk());
       }
-      const refused = addChange(requests, change('b-0'));
-      assert.equal(refused._unsafeUnwrapErr().name, 'too-many-changes');
+      const rejected = addChange(requests, change('b-0'));
+      assert.equal(rejected._unsafeUnwrapErr().name, 'too-many-changes');
       assert.ok(addChange(requests, change('a-0')).isOk());
     });
   });
