--- a/packages/coordination/test/core/config/keeper.test.ts
+++ b/packages/coordination/test/core/config/keeper.test.ts
@@ -263,8 +263,8 @@
     });
   });
 
-  describe('limits', () => {
-    it('bound the stored holders and patches; a peer that lags too far gets the whole document', () => {
+  describe('bounds', () => {
+    it('limit the stored holders and patches; a peer that lags too far gets the whole document', () => {
       const state = stateHolding(1, 0);
       for (let holder = 0; holder < 100; holder += 1) {
         configAnnounced(state, `holder-${String(holder)}:1`, 99, context(1_000));
--- a/packages/coordination/test/core/drain/planned-changes.test.ts
+++ b/packages/coordination/test/core/drain/planned-changes.test.ts
@@ -119,7 +119,7 @@
     });
   });
 
-  describe('limits', () => {
+  describe('bounds', () => {
     it('reject requests beyond the maximum, but not one that is queued already', () => {
       const requests = new Map<string, ChangeRequest>();
       for (let index = 0; index < MAX_CHANGES; index += 1) {
