--- a/packages/daemon/src/sidecar/backend.ts
+++ b/packages/daemon/src/sidecar/backend.ts
@@ -1,18 +1,19 @@
 /**
- * What the sidecar's attempts run on: a model engine or a plain service. A backend starts work and
- * reports what becomes of it as events of the library's attempt machine.
+ * The interface between the sidecar and the service behind its target, which is a model engine or a
+ * plain service. A backend starts attempts and reports their progress and outcome as events of the
+ * library's attempt machine.
  */
 import type { Attempt, HostEvent } from '@cassiamast/coordination';
 
-/** Runs attempts. */
+/** Runs attempts on an engine or a plain service. */
 export interface Backend {
   readonly start: (attempt: Attempt, payload: unknown, continueFrom: readonly string[]) => void;
-  /** Takes up a stream that a former sidecar started. */
+  /** Resumes a stream that an earlier sidecar process started. */
   readonly resume: (attemptId: string, fromIndex: number) => void;
   readonly cancel: (attemptId: string) => void;
-  /** Starts nothing more; releases its connections when what runs has ended. */
+  /** Accepts no new work and closes its connections once the running attempts have ended. */
   readonly retire: () => void;
 }
 
-/** Takes what a backend reports. */
+/** Receives the events that a backend reports. */
 export type OnBackendEvent = (event: HostEvent) => void;
--- a/packages/daemon/src/sidecar/engine-backend.ts
+++ b/packages/daemon/src/sidecar/engine-backend.ts
@@ -1,7 +1,7 @@
 /**
- * A model engine as backend. A stream whose connection breaks is told apart from an engine that
- * crashed by the engine's epoch: the one is resumed where it stopped, the other makes suspects of
- * all that ran.
+ * Runs attempts on a model engine. When the connection of a stream breaks, the engine's epoch shows
+ * whether the engine has crashed. If it is still the same engine, the stream is resumed where it
+ * stopped; otherwise all attempts that were running become suspects of the crash.
  */
 import { type Failure, HostEventKind } from '@cassiamast/coordination';
 import {
@@ -18,91 +18,91 @@
 import type { ModelPayload } from '../protocol/stream.js';
 import type { Backend, OnBackendEvent } from './backend.js';
 
-/** Pauses between tries to take up a broken stream at an engine that lives. */
-const RESUME_AFTER_MS = 50;
+/** Delay between attempts to resume a broken stream while the state of the engine is unknown. */
+const RESUME_RETRY_DELAY_MS = 50;
 const MAX_RESUMES = 5;
 
-/** What the backend needs. */
+/** Dependencies of the engine backend. */
 export interface EngineBackendOptions {
   readonly engine: EngineClient;
   readonly onEvent: OnBackendEvent;
-  /** Reads a prompt at another engine; null when that failed and it must be read here. */
+  /** Runs the prefill at another engine; null if that failed and this engine has to do it. */
   readonly prefill: (attemptId: string, payload: ModelPayload) => Promise<string | null>;
 }
 
-/** One stream of the engine as this process reads it. */
-interface Running {
+/** State of one engine stream that this process reads. */
+interface RunningStream {
   stream: EngineStream | null;
-  /** Epoch of the engine when the stream began; empty when it was not known. */
+  /** Epoch of the engine when the stream started; empty if it was not known. */
   readonly epoch: string;
   nextIndex: number;
   resumes: number;
   cancelled: boolean;
 }
 
-/** An engine backend also wants to know the engine's epoch as reports bring it. */
+/** A backend that also receives the engine's epoch, which the load reporter reads. */
 export interface EngineBackend extends Backend {
   readonly noteEpoch: (epoch: string) => void;
 }
 
-/** Makes the backend of one engine. */
+/** Creates the backend of one engine. */
 export function createEngineBackend(options: EngineBackendOptions): EngineBackend {
   const { engine, onEvent } = options;
-  const running = new Map<string, Running>();
+  const running = new Map<string, RunningStream>();
   let epoch = '';
   let isRetired = false;
 
-  function letGo(): void {
+  function closeIfIdle(): void {
     if (isRetired && running.size === 0) void engine.close();
   }
 
-  function end(attemptId: string): void {
+  function untrackStream(attemptId: string): void {
     running.delete(attemptId);
-    letGo();
+    closeIfIdle();
   }
 
-  function begin(attemptId: string, nextIndex: number): Running {
-    const entry: Running = { stream: null, epoch, nextIndex, resumes: 0, cancelled: false };
+  function trackStream(attemptId: string, nextIndex: number): RunningStream {
+    const entry: RunningStream = { stream: null, epoch, nextIndex, resumes: 0, cancelled: false };
     running.set(attemptId, entry);
     return entry;
   }
 
-  function handlersOf(attemptId: string, entry: Running): EngineStreamHandlers {
+  function createStreamHandlers(attemptId: string, entry: RunningStream): EngineStreamHandlers {
     let finished = false;
     return {
       onChunk: (chunk) => {
         if (entry.cancelled) return;
         if (chunk.kind === EngineChunkKind.Finished) finished = true;
-        takeChunk(attemptId, entry, chunk);
+        handleChunk(attemptId, entry, chunk);
       },
       onEnd: () => {
-        if (!finished && !entry.cancelled) void takeUp(attemptId, entry);
+        if (!finished && !entry.cancelled) void tryResume(attemptId, entry);
       },
       onFailure: (failure) => {
-        if (!finished && !entry.cancelled) fail(attemptId, entry, failure);
+        if (!finished && !entry.cancelled) handleFailure(attemptId, entry, failure);
       },
     };
   }
 
-  function takeChunk(attemptId: string, entry: Running, chunk: EngineChunk): void {
+  function handleChunk(attemptId: string, entry: RunningStream, chunk: EngineChunk): void {
     if (chunk.kind === EngineChunkKind.Tokens) {
       const { index, tokens } = chunk;
       entry.nextIndex = Math.max(entry.nextIndex, index + tokens.length);
       onEvent({ kind: HostEventKind.EngineTokens, attemptId, index, tokens });
       return;
     }
-    end(attemptId);
+    untrackStream(attemptId);
     const { reason, promptTokens, cachedTokens, outputTokens } = chunk;
     const ending = { reason, promptTokens, cachedTokens, outputTokens, plain: null };
     onEvent({ kind: HostEventKind.EngineEnded, attemptId, ending });
   }
 
-  function fail(attemptId: string, entry: Running, failure: Failure): void {
+  function handleFailure(attemptId: string, entry: RunningStream, failure: Failure): void {
     if (ENGINE_ANSWER_LOST.is(failure)) {
-      void takeUp(attemptId, entry);
+      void tryResume(attemptId, entry);
       return;
     }
-    end(attemptId);
+    untrackStream(attemptId);
     if (ENGINE_STREAM_UNKNOWN.is(failure)) {
       onEvent({ kind: HostEventKind.EngineStreamMissing, attemptId });
       return;
@@ -112,61 +112,65 @@
     onEvent({ kind: HostEventKind.EngineStreamFailed, attemptId, mayHaveRun });
   }
 
-  /** The stream broke: asks the engine whether it is still the one that the stream began at. */
-  async function takeUp(attemptId: string, entry: Running): Promise<void> {
+  /** Resumes a broken stream if the engine still has the epoch at which the stream started. */
+  async function tryResume(attemptId: string, entry: RunningStream): Promise<void> {
     const state = await engine.state();
     if (!running.has(attemptId) || entry.cancelled) return;
-    const lives = state.isOk() && (entry.epoch === '' || state.value.epoch === entry.epoch);
-    if (!lives) {
-      const isGone = state.isOk() || ENGINE_UNREACHABLE.is(state.error);
-      if (isGone) crashed();
+    const isSameEngine = state.isOk() && (entry.epoch === '' || state.value.epoch === entry.epoch);
+    if (!isSameEngine) {
+      const hasCrashed = state.isOk() || ENGINE_UNREACHABLE.is(state.error);
+      if (hasCrashed) handleCrash();
       else retryLater(attemptId, entry);
       return;
     }
     if (entry.resumes >= MAX_RESUMES) {
-      end(attemptId);
+      untrackStream(attemptId);
       onEvent({ kind: HostEventKind.EngineStreamFailed, attemptId, mayHaveRun: true });
       return;
     }
     entry.resumes += 1;
-    const handlers = handlersOf(attemptId, entry);
+    const handlers = createStreamHandlers(attemptId, entry);
     entry.stream = engine.resumeStream(attemptId, entry.nextIndex, handlers);
   }
 
-  function retryLater(attemptId: string, entry: Running): void {
+  function retryLater(attemptId: string, entry: RunningStream): void {
     entry.resumes += 1;
     if (entry.resumes > MAX_RESUMES) {
-      crashed();
+      handleCrash();
       return;
     }
-    setTimeout(() => void takeUp(attemptId, entry), RESUME_AFTER_MS);
+    setTimeout(() => void tryResume(attemptId, entry), RESUME_RETRY_DELAY_MS);
   }
 
-  function crashed(): void {
+  function handleCrash(): void {
     running.clear();
-    letGo();
+    closeIfIdle();
     epoch = '';
     onEvent({ kind: HostEventKind.EngineCrashed });
   }
 
   return {
-    noteEpoch: (known) => {
-      epoch = known;
+    noteEpoch: (reportedEpoch) => {
+      epoch = reportedEpoch;
     },
     start: (attempt, payload, continueFrom) => {
       const model = payload as ModelPayload;
-      const entry = begin(attempt.id, continueFrom.length);
+      const entry = trackStream(attempt.id, continueFrom.length);
       const generate = (kvHandle: string | null): void => {
         if (entry.cancelled) return;
         const request = toEngineRequest(attempt.id, model, continueFrom, kvHandle);
-        entry.stream = engine.generate(request, handlersOf(attempt.id, entry));
+        entry.stream = engine.generate(request, createStreamHandlers(attempt.id, entry));
       };
       if (model.reader === null) generate(null);
       else void options.prefill(attempt.id, model).then(generate);
     },
     resume: (attemptId, fromIndex) => {
-      const entry = begin(attemptId, fromIndex);
-      entry.stream = engine.resumeStream(attemptId, fromIndex, handlersOf(attemptId, entry));
+      const entry = trackStream(attemptId, fromIndex);
+      entry.stream = engine.resumeStream(
+        attemptId,
+        fromIndex,
+        createStreamHandlers(attemptId, entry),
+      );
     },
     cancel: (attemptId) => {
       const entry = running.get(attemptId);
@@ -175,11 +179,11 @@
         entry.cancelled = true;
         entry.stream?.cancel();
       }
-      void engine.cancel(attemptId).then(letGo);
+      void engine.cancel(attemptId).then(closeIfIdle);
     },
     retire: () => {
       isRetired = true;
-      letGo();
+      closeIfIdle();
     },
   };
 }
--- a/packages/daemon/src/sidecar/failures.ts
+++ b/packages/daemon/src/sidecar/failures.ts
@@ -1,7 +1,7 @@
-/** Failures a sidecar answers with. */
+/** Failures that a sidecar returns to its callers. */
 import { defineFailure } from '@cassiamast/coordination';
 
-/** The target takes no new work. */
+/** The target accepts no new work, for example because it has no engine. */
 export const TARGET_NOT_SERVING = defineFailure({
   name: 'target-not-serving',
   title: 'The target takes no new work',
--- a/packages/daemon/src/sidecar/gate-driver.ts
+++ b/packages/daemon/src/sidecar/gate-driver.ts
@@ -1,7 +1,8 @@
 /**
- * Runs the gate in front of the engine: tickets, orders and their end, and the drain that goes
- * before an order which takes the engine away. A drain lapses by itself, so that a planner which
- * died in the middle leaves no target idle.
+ * Runs the gate that checks orders before they reach the engine. It issues tickets, submits orders,
+ * follows them to their end and drains the target before an order that makes the engine unavailable.
+ * A drain expires by itself, so that a planner which dies during a drain does not leave the target
+ * idle.
  */
 import { randomUUID } from 'node:crypto';
 import {
@@ -45,7 +46,7 @@
 
 const TICK_MS = 200;
 
-/** What the driver needs. */
+/** Dependencies of the gate driver. */
 export interface GateDriverOptions {
   readonly target: string;
   readonly nowMs: () => number;
@@ -54,18 +55,18 @@
   readonly engine: () => EngineClient | null;
   readonly service: () => string | null;
   readonly runningCount: () => number;
-  /** Called when the drain before an order begins or ends. */
+  /** Called when a drain begins or ends. */
   readonly onDrain: (draining: boolean) => void;
 }
 
-/** The gate of one engine. */
+/** Gate of one engine with its RPC handlers and periodic task. */
 export interface GateDriver {
   readonly child: Child;
   readonly handlers: Readonly<Record<string, RpcHandler>>;
   readonly state: GateState;
 }
 
-/** Makes the driver. */
+/** Creates the gate driver of one target. */
 export function createGateDriver(options: GateDriverOptions): GateDriver {
   const { keyValue, telemetry } = options;
   const state = createGate(options.target, GATE_OPTIONS, options.nowMs());
@@ -121,7 +122,7 @@
 
   async function readEngine(readId: number): Promise<void> {
     const view = await options.engine()?.state();
-    // A failed read is made up for by the gate's own tick.
+    // A failed read needs no handling here: the tick of the gate reads the state again.
     if (view?.isOk() === true) perform(engineRead(state, readId, view.value));
   }
 
@@ -133,9 +134,9 @@
       return;
     }
     telemetry.count('orders_sent_total');
-    const wire = { ...body, orderId, fence } as unknown as EngineOrder;
-    const answer = await engine.order(wire);
-    // The engine answers when it has taken the order up; its end is read back from its state.
+    const engineOrder = { ...body, orderId, fence } as unknown as EngineOrder;
+    const answer = await engine.order(engineOrder);
+    // The engine answers once it has started the order; the result is read from its state later.
     if (answer.isOk()) perform(engineAnswerLost(state, orderId, context()));
     else if (isUncertain(answer.error)) perform(engineAnswerLost(state, orderId, context()));
     else perform(engineAnswered(state, orderId, answer.error.message));
@@ -150,7 +151,7 @@
   }
 
   function drain(request: DrainRequest): DrainStatus {
-    // Only whoever could order may drain: a replaced planner must not idle a target either.
+    // A drain needs a current fencing token like an order: a replaced planner must not idle a target.
     if (request.fence < state.highestFence) return { runningAttempts: options.runningCount() };
     drainUntilMs = options.nowMs() + request.forMs;
     applyDrain();
@@ -158,9 +159,9 @@
   }
 
   function submit(submission: OrderSubmission): null {
-    const taken = submitOrder(state, submission, context());
-    if (taken.isErr()) throw new FailureError(taken.error);
-    perform(taken.value);
+    const submitted = submitOrder(state, submission, context());
+    if (submitted.isErr()) throw new FailureError(submitted.error);
+    perform(submitted.value);
     applyDrain();
     return null;
   }
--- a/packages/daemon/src/sidecar/host-driver.ts
+++ b/packages/daemon/src/sidecar/host-driver.ts
@@ -1,6 +1,7 @@
 /**
- * Runs the attempt machine of a sidecar: hands work to the backend, writes streams to the entries
- * that read them, brings ends to the holders and crashes to the ledger.
+ * Runs the attempt machine of a sidecar. It passes work to the backend, writes streams to the
+ * entries that read them, reports the end of attempts to the holders of their records and reports
+ * crashes to the ledger.
  */
 import { randomUUID } from 'node:crypto';
 import type { ServerResponse } from 'node:http';
@@ -48,7 +49,7 @@
 
 const TICK_MS = 100;
 
-/** What the driver needs. */
+/** Dependencies of the host driver. */
 export interface HostDriverOptions {
   readonly selfId: string;
   readonly target: string;
@@ -59,36 +60,36 @@
   readonly keyValue: KeyValuePort;
   /** The backend of the target, or null while there is none. */
   readonly backend: () => Backend | null;
-  /** The target's load as of now, sent along where a stream opens; empty before one was read. */
+  /** Current load of the target, sent when a stream opens; empty before the first reading. */
   readonly loadNow: () => readonly unknown[];
   readonly reportCrash: (service: string, suspects: readonly CrashSuspect[]) => void;
 }
 
-/** The attempts of a sidecar. */
+/** Attempts of a sidecar with their RPC and stream handlers. */
 export interface HostDriver {
   readonly child: Child;
   readonly state: HostState;
   readonly handlers: Readonly<Record<string, RpcHandler>>;
   readonly streams: Readonly<Record<string, StreamHandler>>;
   readonly handle: (event: HostEvent) => void;
-  /** Attempts that the engine works on. */
+  /** Number of attempts that the engine is running. */
   readonly runningCount: () => number;
-  /** Attempts that a process which stops must not leave. */
+  /** Number of attempts that must end before the process may stop. */
   readonly openCount: () => number;
 }
 
-/** One entry's connection. */
+/** Connection of an entry that reads a stream. */
 interface Connection {
   readonly callId: JSONRPCID;
   readonly stream: EventStreamWriter;
 }
 
-/** Makes the driver. */
+/** Creates the host driver of a sidecar. */
 export function createHostDriver(options: HostDriverOptions): HostDriver {
   const { telemetry } = options;
   const state = createHost(options.selfId, options.target, randomUUID());
   const connections = new Map<string, Connection>();
-  /** No more than the machine holds attempts. */
+  /** Streams to resume once there is a backend; bounded by the attempts of the machine. */
   const pendingResumes: { readonly attemptId: string; readonly fromIndex: number }[] = [];
 
   const context = (): HostContext => ({
@@ -151,8 +152,8 @@
   }
 
   /**
-   * Guards a stream that an entry wants taken up before this process has its configuration, and so
-   * its engine: it would hang until the caller's deadline. It waits here until there is an engine.
+   * Resumes the streams that entries requested before this process had its configuration and thus
+   * its engine. Without the queue such a stream would hang until the caller's deadline.
    */
   function resumePending(): void {
     const backend = options.backend();
@@ -165,7 +166,7 @@
   async function checkLoneRun(attemptId: string, service: string): Promise<void> {
     telemetry.count('key_value_reads_total');
     const stored = await options.keyValue.get(loneRunKeyOf(service));
-    // In an outage the machine asks again by itself.
+    // During an outage of the store the attempt machine repeats the check by itself.
     if (stored.isErr()) return;
     const stands = parseLoneRun(stored.value)?.attemptId === attemptId;
     handle({ kind: HostEventKind.LoneRunChecked, attemptId, stands });
@@ -188,8 +189,8 @@
     const connection = connections.get(attachId);
     if (connection === undefined) return;
     const data = JSON.stringify(createJSONRPCNotification(method, params));
-    const keepsUp = connection.stream.write({ data });
-    if (!keepsUp) handle({ kind: HostEventKind.ReaderPaused, attachId });
+    const canAcceptMore = connection.stream.write({ data });
+    if (!canAcceptMore) handle({ kind: HostEventKind.ReaderPaused, attachId });
   }
 
   function finish(attachId: string, outcome: StreamOutcome): void {
@@ -201,7 +202,7 @@
     connection.stream.end();
   }
 
-  /** Opens an entry's connection; what the machine sends to it goes there from then on. */
+  /** Registers the connection of an entry, which from then on receives the machine's messages. */
   function connect(callId: JSONRPCID, response: ServerResponse): string {
     const attachId = randomUUID();
     const stream = startEventStream(response, {}, () => {
--- a/packages/daemon/src/sidecar/load-reporter.ts
+++ b/packages/daemon/src/sidecar/load-reporter.ts
@@ -1,7 +1,8 @@
 /**
- * Reads the engine's load and passes it on to the entries that subscribed. The interval stretches
- * with the number of entries, and as each entry asks, so that reports stay within their part of the
- * control budget at both ends. Where answers flow, they carry fresher loads at no cost.
+ * Reads the load of the engine and reports it to the subscribed entries. The report interval grows
+ * with the number of entries and is never shorter than the one that an entry requests, so that
+ * reports stay within their share of the control budget of both sender and receiver. Streams of
+ * answers also carry the current load, at no extra cost.
  */
 import { EngineRole, type ModelSpec } from '@cassiamast/coordination';
 import type { EngineClient, EngineLoad, EngineState } from '@cassiamast/ports';
@@ -10,40 +11,40 @@
 import { RpcMethod } from '../protocol/methods.js';
 import type { Child } from '../supervisor/supervisor.js';
 
-/** How often the engine beside is read; it is on the same VM, so that this costs no network. */
-const READ_MS = 250;
-/** A sealed report with its headers, about. */
-const REPORT_BYTES = 180;
-/** One of the 4 KB a second that control may cost a member. */
+/** Interval for reading the local engine, which is on the same VM and costs no network traffic. */
+const ENGINE_READ_INTERVAL_MS = 250;
+/** Approximate size of a sealed report with its headers. */
+const APPROX_REPORT_BYTES = 180;
+/** Share of load reports in the 4 KB per second that control traffic may cost a member. */
 const BUDGET_BYTES_PER_S = 1_000;
-/** An entry subscribes anew every 5 s; three lost datagrams do not end it. */
-const SUBSCRIPTION_MS = 20_000;
-/** More entries than the target size has. */
+/** Entries renew their subscription every 5 s, so it survives three lost datagrams. */
+const SUBSCRIPTION_TTL_MS = 20_000;
+/** Exceeds the number of entries of a fleet of the intended size. */
 const MAX_SUBSCRIBERS = 1_024;
 const MS_PER_S = 1_000;
 
-/** What the reporter needs. */
+/** Dependencies of the load reporter. */
 export interface LoadReporterOptions {
   readonly target: string;
   readonly nowMs: () => number;
   readonly engine: () => EngineClient | null;
   readonly accepting: () => boolean;
-  /** Models that the operators want the engine to hold. */
+  /** Models that the operators want the engine to have loaded. */
   readonly wantedModels: () => readonly ModelSpec[];
-  /** Called with each reading. */
+  /** Called with the engine's epoch after each successful reading. */
   readonly onRead: (epoch: string) => void;
   readonly sendDatagram: (member: string, method: RpcMethod, params: unknown) => void;
 }
 
-/** Reports load. */
+/** Reports the load of one target to subscribed entries. */
 export interface LoadReporter {
   readonly child: Child;
   readonly subscribe: (entry: string, intervalMs: number) => void;
-  /** The latest load as it is sent; empty before one was read. */
+  /** Latest load in its wire encoding; empty before the first reading. */
   readonly encoded: () => readonly unknown[];
 }
 
-/** Makes the reporter. */
+/** Creates the load reporter of one target. */
 export function createLoadReporter(options: LoadReporterOptions): LoadReporter {
   const subscribers = new Map<string, Subscriber>();
   let load: EngineLoad | null = null;
@@ -51,9 +52,9 @@
   let missing: MissingLoad | null = null;
   let readAtMs = 0;
 
-  /** The least interval at which all subscribers together stay within the budget. */
+  /** Returns the shortest interval at which reports to all subscribers fit the budget. */
   function budgetIntervalMs(): number {
-    return ((subscribers.size * REPORT_BYTES) / BUDGET_BYTES_PER_S) * MS_PER_S;
+    return ((subscribers.size * APPROX_REPORT_BYTES) / BUDGET_BYTES_PER_S) * MS_PER_S;
   }
 
   async function read(): Promise<void> {
@@ -71,7 +72,7 @@
 
   function encoded(): readonly unknown[] {
     if (load === null) return [];
-    const { sequence, epoch, ...figures } = load;
+    const { sequence, epoch, ...counts } = load;
     return encodeLoad({
       target: options.target,
       ageMs: options.nowMs() - readAtMs,
@@ -80,7 +81,7 @@
       role: role ?? EngineRole.Mixed,
       accepting: options.accepting(),
       missing,
-      ...figures,
+      ...counts,
     });
   }
 
@@ -100,15 +101,15 @@
   return {
     encoded,
     subscribe: (entry, intervalMs) => {
-      const known = subscribers.get(entry);
-      if (subscribers.size >= MAX_SUBSCRIBERS && known === undefined) return;
-      const untilMs = options.nowMs() + SUBSCRIPTION_MS;
-      const sentAtMs = known?.sentAtMs ?? Number.NEGATIVE_INFINITY;
+      const existing = subscribers.get(entry);
+      if (subscribers.size >= MAX_SUBSCRIBERS && existing === undefined) return;
+      const untilMs = options.nowMs() + SUBSCRIPTION_TTL_MS;
+      const sentAtMs = existing?.sentAtMs ?? Number.NEGATIVE_INFINITY;
       subscribers.set(entry, { untilMs, intervalMs, sentAtMs });
     },
     child: createPeriodic(
       'load-reports',
-      () => READ_MS,
+      () => ENGINE_READ_INTERVAL_MS,
       async () => {
         await read();
         send();
@@ -119,17 +120,19 @@
 
 interface Subscriber {
   readonly untilMs: number;
-  /** What the entry can take, by the number of targets that it follows. */
+  /** Shortest interval that the entry accepts, given the number of targets that it follows. */
   readonly intervalMs: number;
   sentAtMs: number;
 }
 
-/** The first model or adapter, at the wanted version, that the engine lacks. */
+/** Returns the first wanted model or adapter that the engine has not loaded in that version. */
 function findMissing(state: EngineState, wanted: readonly ModelSpec[]): MissingLoad | null {
   for (const { name, version, adapters } of wanted) {
-    const held = state.models.find((model) => model.name === name && model.version === version);
-    if (held === undefined) return { model: name, version, adapter: null };
-    const adapter = adapters.find((wantedAdapter) => !held.adapters.includes(wantedAdapter));
+    const loadedModel = state.models.find(
+      (model) => model.name === name && model.version === version,
+    );
+    if (loadedModel === undefined) return { model: name, version, adapter: null };
+    const adapter = adapters.find((wantedAdapter) => !loadedModel.adapters.includes(wantedAdapter));
     if (adapter !== undefined) return { model: name, version, adapter };
   }
   return null;
--- a/packages/daemon/src/sidecar/prefill.ts
+++ b/packages/daemon/src/sidecar/prefill.ts
@@ -1,7 +1,8 @@
 /**
- * Reading a prompt at one engine for another to write the answer. The writer's sidecar asks the
- * reader's, then has its own engine fetch the KV cache. Whatever fails, the writer reads the prompt
- * itself: slower, and never a reason to fail the request.
+ * Runs the prefill of a prompt at one engine and the decode at another. The sidecar of the decode
+ * engine calls the sidecar of the prefill engine and then has its own engine fetch the KV cache. If
+ * any step fails, the decode engine runs the prefill itself, which is slower but does not fail the
+ * request.
  */
 import { FailureError } from '@cassiamast/coordination';
 import { type EngineClient, EngineChunkKind, type EngineRequest } from '@cassiamast/ports';
@@ -12,32 +13,32 @@
 import type { ModelPayload } from '../protocol/stream.js';
 import { TARGET_NOT_SERVING } from './failures.js';
 
-/** The longest prompts take seconds to read. */
+/** Allows for the longest prompts, whose prefill takes seconds. */
 const PREFILL_TIMEOUT_MS = 30_000;
-/** Ends the stream's id at the reading engine, so that it is not the writing one's. */
+/** Suffix that makes the stream id at the prefill engine differ from that at the decode engine. */
 const PREFILL_SUFFIX = '/prefill';
 
-/** What a reader is asked. */
+/** Parameters of a prefill request. */
 interface PrefillParams {
   readonly streamId: string;
   readonly payload: ModelPayload;
 }
 
-/** What prefilling needs. */
+/** Dependencies of the prefill transfer. */
 export interface PrefillOptions {
   readonly rpc: RpcClient;
   readonly engine: () => EngineClient | null;
   readonly telemetry: Telemetry;
 }
 
-/** Prefilling, as reader and as writer. */
+/** Both sides of the prefill transfer: requesting a prefill and running one for another sidecar. */
 export interface Prefill {
-  /** Has the prompt read elsewhere; the handle of the cache here, or null when that failed. */
+  /** Requests a prefill at another engine; returns the local KV cache handle, or null on failure. */
   readonly request: (attemptId: string, payload: ModelPayload) => Promise<string | null>;
   readonly handlers: Readonly<Record<string, RpcHandler>>;
 }
 
-/** Makes both sides. */
+/** Creates both sides of the prefill transfer. */
 export function createPrefill(options: PrefillOptions): Prefill {
   async function request(attemptId: string, payload: ModelPayload): Promise<string | null> {
     const { reader } = payload;
--- a/packages/daemon/test/sidecar/plain-backend.test.ts
+++ b/packages/daemon/test/sidecar/plain-backend.test.ts
@@ -1,4 +1,4 @@
-/** A plain service beside a sidecar whose target gets another address, or is taken out of the text. */
+/** Retiring the backend of a plain service when its target moves or leaves the configuration. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { type HostEvent, HostEventKind } from '@cassiamast/coordination';
@@ -23,8 +23,8 @@
 };
 
 describe('the backend of a plain service', () => {
-  // Guards against an edit that cuts calls which must not run twice.
-  it('that retires keeps its connections until its last call has ended', async () => {
+  // Prevents a configuration edit from cutting off running calls, which must not be run twice.
+  it('keeps its connections after retire() until the last call has ended', async () => {
     const answered = withResolvers<PlainResponse>();
     const events: HostEvent[] = [];
     let closed = false;
