--- a/packages/daemon/src/protocol/load.ts
+++ b/packages/daemon/src/protocol/load.ts
@@ -1,32 +1,33 @@
 /**
- * Load reports as datagrams: positional, because a field's name would cost more than its value. A
- * report states its own age, so that no two clocks are compared.
+ * Encodes and decodes load reports for datagrams. Fields are positional, because a field's name
+ * would take more bytes than its value. A report contains its own age, so that the clocks of sender
+ * and receiver are never compared.
  */
 import { EngineRole, type LoadReport } from '@cassiamast/coordination';
 
-/** A report as its sender knows it; `ageMs` is counted on the sender's clock. */
+/** A load report before it is sent; `ageMs` is measured on the sender's clock. */
 export type SentLoadReport = Omit<LoadReport, 'atMs'> & {
   readonly ageMs: number;
   readonly missing: MissingLoad | null;
 };
 
-/** The next model or adapter that the target's engine lacks. */
+/** First wanted model or adapter that the target's engine has not loaded. */
 export interface MissingLoad {
   readonly model: string;
   readonly version: string;
   readonly adapter: string | null;
 }
 
-/** A report as it arrived. */
+/** A decoded load report. */
 export interface ReceivedLoad {
   readonly report: LoadReport;
   readonly missing: MissingLoad | null;
 }
 
 const ROLES = [EngineRole.Prefill, EngineRole.Decode, EngineRole.Mixed] as const;
-const FIELDS = 14;
+const FIELD_COUNT = 14;
 
-/** Encodes a report. */
+/** Encodes a report as a positional array. */
 export function encodeLoad(report: SentLoadReport): readonly unknown[] {
   return [
     report.target,
@@ -48,9 +49,9 @@
   ];
 }
 
-/** Decodes a report that arrived at `nowMs`; null when it is malformed. */
+/** Decodes a report received at `nowMs`; returns null if it is malformed. */
 export function decodeLoad(params: unknown, nowMs: number): ReceivedLoad | null {
-  if (!Array.isArray(params) || params.length !== FIELDS) return null;
+  if (!Array.isArray(params) || params.length !== FIELD_COUNT) return null;
   const [target, ageMs, sequence, epoch, roleIndex, ...rest] = params as unknown[];
   const counts = rest.slice(0, -1);
   const role = typeof roleIndex === 'number' ? ROLES[roleIndex] : undefined;
--- a/packages/daemon/src/protocol/methods.ts
+++ b/packages/daemon/src/protocol/methods.ts
@@ -1,11 +1,11 @@
 /**
- * The methods that members call on each other, as JSON-RPC 2.0 over HTTP (`POST /rpc`), as a
- * stream (`POST /streams`, answered by server-sent events that each hold one JSON-RPC message) or
- * as one notification in a datagram. Calls to holders are named by the library's `HolderCallKind`,
- * membership's datagrams by its `MembershipMethod`.
+ * Names of the methods that members call on each other. A call is JSON-RPC 2.0 over HTTP (`POST
+ * /rpc`), a stream (`POST /streams`, answered by server-sent events that each contain one JSON-RPC
+ * message) or a notification in a single datagram. The library defines the names of calls to record
+ * holders (`HolderCallKind`) and of membership datagrams (`MembershipMethod`).
  */
 
-/** Every method name of the daemon's own. */
+/** Names of all methods that the daemon defines itself. */
 export enum RpcMethod {
   ClaimTake = 'claim.take',
   SessionOpen = 'session.open',
@@ -38,9 +38,9 @@
   LimitsTake = 'limits.take',
 }
 
-/** Path of calls with one answer. */
+/** HTTP path of calls with a single response. */
 export const RPC_PATH = '/rpc';
-/** Path of calls answered by a stream. */
+/** HTTP path of calls whose response is a stream. */
 export const STREAM_PATH = '/streams';
-/** Path of the Prometheus text. */
+/** HTTP path of the metrics in Prometheus text format. */
 export const METRICS_PATH = '/metrics';
--- a/packages/daemon/src/protocol/planning.ts
+++ b/packages/daemon/src/protocol/planning.ts
@@ -1,17 +1,17 @@
-/** What planners, entries and sidecars say to each other about roles, loads and demand. */
+/** Messages and keys that planners and sidecars use for leases and drains. */
 
-/** Key of a service's planner lease; its create revision is the fencing number. */
+/** Returns the key of a service's planner lease; its create revision is the fencing token. */
 export function plannerLeaseKey(service: string): string {
   return `cassiamast/planner/${service}`;
 }
 
-/** Asks a sidecar to take no new work for a while, before an order that takes its engine away. */
+/** Tells a sidecar to accept no new work for `forMs` before an order that occupies its engine. */
 export interface DrainRequest {
   readonly fence: number;
   readonly forMs: number;
 }
 
-/** How far the drain has come. */
+/** Progress of a drain. */
 export interface DrainStatus {
   readonly runningAttempts: number;
 }
--- a/packages/daemon/src/protocol/stream.ts
+++ b/packages/daemon/src/protocol/stream.ts
@@ -1,16 +1,17 @@
 /**
- * What entry and sidecar say to each other about one attempt. A stream's events are `stream.opened`,
- * batches of tokens, then exactly one {@link StreamOutcome} as the result of the call.
+ * Messages between an entry and a sidecar about one attempt. The events of a stream are
+ * `stream.opened`, batches of tokens, and finally exactly one {@link StreamOutcome} as the result of
+ * the call.
  */
 import type { StreamEnd, StreamFailure } from '@cassiamast/coordination';
 
-/** What stands behind the target that an attempt runs at. */
+/** Kind of service behind a target. */
 export enum PayloadKind {
   Model = 'model',
   Plain = 'plain',
 }
 
-/** Work for a model engine. */
+/** Generation request for a model engine. */
 export interface ModelPayload {
   readonly kind: PayloadKind.Model;
   readonly model: string;
@@ -20,19 +21,19 @@
   readonly temperature: number;
   readonly seed: number;
   readonly priority: number;
-  /** The engine that reads the prompt and hands its KV cache on; null to read it here. */
+  /** Engine that runs the prefill and transfers its KV cache; null to run it at the target. */
   readonly reader: PrefillPlace | null;
 }
 
-/** Where a prompt is read for another engine. */
+/** Location of the engine that runs the prefill for another engine. */
 export interface PrefillPlace {
   readonly sidecar: string;
   readonly target: string;
-  /** Base URL of the engine, from which the writing engine fetches the KV cache. */
+  /** Base URL of the prefill engine, from which the decode engine fetches the KV cache. */
   readonly engineUrl: string;
 }
 
-/** A call of a plain service. */
+/** HTTP call to a plain service. */
 export interface PlainPayload {
   readonly kind: PayloadKind.Plain;
   readonly method: string;
@@ -42,22 +43,22 @@
   readonly timeoutMs: number;
 }
 
-/** What a dispatch carries for the target. */
+/** Work that is sent to a target. */
 export type Payload = ModelPayload | PlainPayload;
 
-/** One batch of tokens; `index` is the position of the first in the whole answer. */
+/** A batch of tokens; `index` is the position of its first token in the whole answer. */
 export interface StreamTokensParams {
   readonly index: number;
   readonly tokens: readonly string[];
 }
 
-/** How a stream came to its end. */
+/** Whether a stream ended or failed. */
 export enum StreamOutcomeKind {
   Ended = 'ended',
   Failed = 'failed',
 }
 
-/** The result of a stream's call. */
+/** Final result of a stream call. */
 export type StreamOutcome =
   | { readonly kind: StreamOutcomeKind.Ended; readonly end: StreamEnd }
   | { readonly kind: StreamOutcomeKind.Failed; readonly failure: StreamFailure };
