--- a/packages/daemon/src/planning/lease-driver.ts
+++ b/packages/daemon/src/planning/lease-driver.ts
@@ -1,4 +1,4 @@
-/** Runs the planner's lease of one service in one entry. */
+/** Runs the state machine of a service's planner lease against the key-value store. */
 import {
   LEASE_OPTIONS,
   type LeaseContext,
@@ -22,7 +22,7 @@
 import type { Telemetry } from '../node/telemetry.js';
 import { plannerLeaseKey } from '../protocol/planning.js';
 
-/** What the driver needs. */
+/** Dependencies of the lease driver. */
 export interface LeaseDriverOptions {
   readonly selfId: string;
   readonly service: string;
@@ -30,14 +30,14 @@
   readonly random: Random;
   readonly keyValue: LeaseStore;
   readonly telemetry: Pick<Telemetry, 'count'>;
-  /** Other times than the usual ones. */
+  /** Overrides the default lease times. */
   readonly leaseOptions?: LeaseOptions;
   readonly isCandidate: () => boolean;
   readonly onGained: (fence: number) => void;
   readonly onLost: (fence: number, reason: string) => void;
 }
 
-/** The lease of one service. */
+/** Planner lease of one service. */
 export interface LeaseDriver {
   readonly state: LeaseState;
   readonly tick: () => void;
@@ -46,7 +46,7 @@
   readonly giveUp: () => void;
 }
 
-/** Makes the driver. */
+/** Creates the lease driver of one service. */
 export function createLeaseDriver(options: LeaseDriverOptions): LeaseDriver {
   const { keyValue, telemetry } = options;
   const key = plannerLeaseKey(options.service);
--- a/packages/daemon/src/planning/order-driver.ts
+++ b/packages/daemon/src/planning/order-driver.ts
@@ -1,4 +1,7 @@
-/** Gives one order to one target: drains it first where the order takes its engine away. */
+/**
+ * Issues one order to one target. Drains the target first if its engine can't serve requests while
+ * it carries out the order.
+ */
 import { randomUUID } from 'node:crypto';
 import {
   type Failure,
@@ -23,39 +26,39 @@
 import type { DrainStatus } from '../protocol/planning.js';
 
 const CALL_TIMEOUT_MS = 2_000;
-/** A drain lapses unless it is asked for again within this. */
-const DRAIN_MS = 5_000;
+/** A drain expires unless it is renewed within this time. */
+const DRAIN_TTL_MS = 5_000;
 
-/** What an order is given with. */
+/** Parameters and dependencies of an order. */
 export interface OrderDriverOptions {
   readonly planner: string;
   readonly fence: number;
   readonly sidecar: string;
   readonly body: OrderBody;
-  /** Whether the target takes no new work before and while the order is carried out. */
+  /** Whether the target accepts no new work before and during the execution of the order. */
   readonly drains: boolean;
-  /** The order is given up when the target has not drained by then. */
+  /** Time after which the order is abandoned if the target has not drained. */
   readonly drainGiveUpMs: number;
   readonly nowMs: () => number;
   readonly rpc: RpcClient;
   readonly mayOrder: () => boolean;
   readonly onSent: () => void;
-  /** Called once; the failure is null when the order is done. */
+  /** Called exactly once; the failure is null if the order succeeded. */
   readonly onEnded: (failure: Failure | null) => void;
 }
 
-/** An order under way; `tick` a few times a second. */
+/** An order in progress; `tick` is to be called a few times a second. */
 export interface OrderDriver {
   readonly tick: () => void;
 }
 
-/** Starts an order. */
+/** Creates the driver of one order; the first tick starts the order. */
 export function createOrderDriver(options: OrderDriverOptions): OrderDriver {
   const { rpc, sidecar, planner, fence } = options;
   const startedAtMs = options.nowMs();
   let state: OrderState | null = null;
-  let isAsking = false;
-  let isOver = false;
+  let isDrainCallPending = false;
+  let hasEnded = false;
 
   const context = (): OrderContext => ({ nowMs: options.nowMs(), mayOrder: options.mayOrder });
 
@@ -76,7 +79,7 @@
         void readOrder(effect.orderId);
         return;
       case OrderEffectKind.Ended:
-        isOver = true;
+        hasEnded = true;
         options.onEnded(effect.failure);
     }
   }
@@ -87,7 +90,7 @@
     if (current === null) return;
     perform(
       ticket.match(
-        (given) => ticketReceived(current, given, context()),
+        (granted) => ticketReceived(current, granted, context()),
         (failure) => ticketRefused(current, failure),
       ),
     );
@@ -120,18 +123,18 @@
     return rpc.call<Answer>(sidecar, method, params, { timeoutMs: CALL_TIMEOUT_MS });
   }
 
-  async function keepDraining(): Promise<void> {
-    if (isAsking) return;
-    isAsking = true;
-    const status = await call<DrainStatus>(RpcMethod.TargetDrain, { fence, forMs: DRAIN_MS });
-    isAsking = false;
-    if (state !== null || isOver) return;
-    if (status.isOk() && status.value.runningAttempts === 0) begin();
-    else if (options.nowMs() - startedAtMs > options.drainGiveUpMs) giveUp(status.isOk());
+  async function renewDrain(): Promise<void> {
+    if (isDrainCallPending) return;
+    isDrainCallPending = true;
+    const status = await call<DrainStatus>(RpcMethod.TargetDrain, { fence, forMs: DRAIN_TTL_MS });
+    isDrainCallPending = false;
+    if (state !== null || hasEnded) return;
+    if (status.isOk() && status.value.runningAttempts === 0) issueOrder();
+    else if (options.nowMs() - startedAtMs > options.drainGiveUpMs) abandon(status.isOk());
   }
 
-  function giveUp(answered: boolean): void {
-    isOver = true;
+  function abandon(answered: boolean): void {
+    hasEnded = true;
     const cause = answered ? 'running work did not end in time' : 'no answer to the drain';
     options.onEnded(
       MEMBER_UNREACHABLE.of({
@@ -143,17 +146,17 @@
     );
   }
 
-  function begin(): void {
-    const given = giveOrder(randomUUID(), fence, options.body, context());
-    state = given.state;
-    perform(given.effects);
+  function issueOrder(): void {
+    const issued = giveOrder(randomUUID(), fence, options.body, context());
+    state = issued.state;
+    perform(issued.effects);
   }
 
   return {
     tick: () => {
-      if (isOver) return;
-      if (options.drains && state === null) void keepDraining();
-      else if (state === null) begin();
+      if (hasEnded) return;
+      if (options.drains && state === null) void renewDrain();
+      else if (state === null) issueOrder();
       else perform(tickOrder(state, context()));
     },
   };
--- a/packages/daemon/src/planning/planning.ts
+++ b/packages/daemon/src/planning/planning.ts
@@ -1,6 +1,7 @@
 /**
- * Planning in one entry: stands for the lease of each model service, plans those it holds, and
- * tells each service's planner the demand that it meters itself.
+ * Runs planning in one entry. The entry is a candidate for the lease of each model service, plans
+ * the services whose lease it holds, and reports the demand that it measures to the planner of each
+ * service.
  */
 import {
   type DemandReport,
@@ -25,10 +26,10 @@
 import { type LeaseDriver, createLeaseDriver } from './lease-driver.js';
 import { type ServicePlanner, createServicePlanner } from './service-planner.js';
 
-const PLAN_MS = 1_000;
-const TICK_MS = 200;
+const PLAN_INTERVAL_MS = 1_000;
+const TICK_INTERVAL_MS = 200;
 
-/** What planning needs. */
+/** Dependencies of planning. */
 export interface PlanningOptions {
   readonly selfId: string;
   readonly nowMs: () => number;
@@ -46,31 +47,34 @@
   readonly drainMs: () => number;
 }
 
-/** Planning of one entry. */
+/** Planning of one entry with its periodic tasks. */
 export interface Planning {
   readonly children: readonly Child[];
   readonly noteLoad: (load: ReceivedLoad) => void;
-  /** A demand report that came in a datagram. */
+  /** Accepts a demand report received in a datagram; ignores it if it is malformed. */
   readonly heardDemand: (params: unknown) => void;
-  /** Services whose planner this entry is, or would be: it wants all their targets' reports. */
+  /** Services for which this entry is the planner candidate and needs all load reports. */
   readonly plannedServices: () => readonly string[];
   readonly authorityOf: (service: string) => { readonly fence: number } | null;
   readonly roleChanges: (service: string) => number;
   readonly giveUp: () => void;
 }
 
-interface Planned {
+interface PlannedService {
   readonly lease: LeaseDriver;
   readonly planner: ServicePlanner;
 }
 
-/** Makes the planning of one entry. */
+/** Creates the planning of one entry. */
 export function createPlanning(options: PlanningOptions): Planning {
   const { telemetry } = options;
-  const planned = new Map<string, Planned>();
-  let isGivenUp = false;
+  const planned = new Map<string, PlannedService>();
+  let hasGivenUp = false;
 
-  /** The entry that is to hold a service's lease: the same for all who know the same members. */
+  /**
+   * Returns the entry that should hold a service's lease. Entries with the same view of the members
+   * choose the same candidate.
+   */
   function candidateOf(service: string): string | null {
     let best: { id: string; rank: number } | null = null;
     for (const { id, kind, state } of options.present()) {
@@ -82,10 +86,10 @@
   }
 
   function isCandidate(service: string): boolean {
-    return !isGivenUp && candidateOf(service) === options.selfId;
+    return !hasGivenUp && candidateOf(service) === options.selfId;
   }
 
-  function make(spec: ServiceSpec): Planned {
+  function create(spec: ServiceSpec): PlannedService {
     const service = spec.name;
     const lease = createLeaseDriver({
       selfId: options.selfId,
@@ -120,7 +124,7 @@
     return { lease, planner };
   }
 
-  function refresh(): void {
+  function syncServices(): void {
     const specs = options.services().filter((spec) => spec.kind === TargetKind.ModelEngine);
     const names = new Set(specs.map((spec) => spec.name));
     for (const [name, { lease }] of planned) {
@@ -128,13 +132,13 @@
       lease.giveUp();
       planned.delete(name);
     }
-    for (const spec of specs) if (!planned.has(spec.name)) planned.set(spec.name, make(spec));
+    for (const spec of specs) if (!planned.has(spec.name)) planned.set(spec.name, create(spec));
   }
 
   function tick(): void {
-    refresh();
+    syncServices();
     for (const [service, { lease, planner }] of planned) {
-      // The lease follows the candidate, to whom the other entries send their demand.
+      // Only the candidate receives the demand of the other entries, so only it may keep the lease.
       if (lease.holds() && !isCandidate(service)) lease.giveUp();
       lease.tick();
       planner.tick();
@@ -144,10 +148,10 @@
   function sendDemand(): void {
     for (const [service, policy] of options.policies.models()) {
       const report = takeDemandReport(policy.meter, options.nowMs());
-      const to = candidateOf(service);
-      if (to === options.selfId) planned.get(service)?.planner.noteDemand(report);
-      else if (to !== null) {
-        options.sendDatagram(to, RpcMethod.DemandReport, encodeDemand(service, report));
+      const candidate = candidateOf(service);
+      if (candidate === options.selfId) planned.get(service)?.planner.recordDemand(report);
+      else if (candidate !== null) {
+        options.sendDatagram(candidate, RpcMethod.DemandReport, encodeDemand(service, report));
       }
     }
   }
@@ -159,15 +163,15 @@
 
   return {
     children: [
-      createPeriodic('leases', () => TICK_MS, tick),
-      createPeriodic('planning', () => PLAN_MS, plan),
+      createPeriodic('leases', () => TICK_INTERVAL_MS, tick),
+      createPeriodic('planning', () => PLAN_INTERVAL_MS, plan),
     ],
     noteLoad: ({ report, missing }) => {
-      for (const { planner } of planned.values()) planner.noteMissing(report.target, missing);
+      for (const { planner } of planned.values()) planner.setMissingLoad(report.target, missing);
     },
     heardDemand: (params) => {
-      const heard = decodeDemand(params, options.nowMs());
-      if (heard !== null) planned.get(heard.service)?.planner.noteDemand(heard.report);
+      const received = decodeDemand(params, options.nowMs());
+      if (received !== null) planned.get(received.service)?.planner.recordDemand(received.report);
     },
     plannedServices: () => [...planned.keys()].filter(isCandidate),
     authorityOf: (service) => {
@@ -176,7 +180,7 @@
     },
     roleChanges: (service) => planned.get(service)?.planner.roleChanges() ?? 0,
     giveUp: () => {
-      isGivenUp = true;
+      hasGivenUp = true;
       for (const { lease } of planned.values()) lease.giveUp();
     },
   };
--- a/packages/daemon/src/planning/service-planner.ts
+++ b/packages/daemon/src/planning/service-planner.ts
@@ -1,6 +1,6 @@
 /**
- * Plans one service in the entry that holds its lease: which engines change their role, and which
- * models are loaded, one decision a second. Without the lease it only listens.
+ * Plans one service: decides once a second which engines change their role and which models they
+ * load. Only the entry that holds the lease of the service decides; the others just collect reports.
  */
 import {
   ChangeKind,
@@ -36,10 +36,10 @@
 import type { LeaseDriver } from './lease-driver.js';
 import { type OrderDriver, createOrderDriver } from './order-driver.js';
 
-/** Entries of the target size, with room. */
+/** Exceeds the number of entries of a fleet of the intended size. */
 const MAX_DEMAND_REPORTS = 1_024;
 
-/** What the planner needs. */
+/** Dependencies of the planner. */
 export interface ServicePlannerOptions {
   readonly selfId: string;
   readonly service: string;
@@ -55,28 +55,28 @@
   readonly drainMs: () => number;
 }
 
-/** The planner of one service. */
+/** Planner of one service. */
 export interface ServicePlanner {
-  readonly noteDemand: (report: DemandReport) => void;
-  readonly noteMissing: (target: string, missing: MissingLoad | null) => void;
-  /** Decides; to be called once a second. */
+  readonly recordDemand: (report: DemandReport) => void;
+  readonly setMissingLoad: (target: string, missing: MissingLoad | null) => void;
+  /** Makes the next decisions; to be called once a second. */
   readonly plan: () => Promise<void>;
-  /** Moves orders under way on; to be called a few times a second. */
+  /** Advances the orders in progress; to be called a few times a second. */
   readonly tick: () => void;
   readonly roleChanges: () => number;
 }
 
-interface UnderWay {
+interface ActiveOrder {
   readonly driver: OrderDriver;
   readonly role: EngineRole | null;
 }
 
-/** Makes the planner. */
+/** Creates the planner of one service. */
 export function createServicePlanner(options: ServicePlannerOptions): ServicePlanner {
   const { telemetry, lease, directory } = options;
   const demand = new Map<string, DemandReport>();
   const missing = new Map<string, MissingLoad>();
-  const underWay = new Map<string, UnderWay>();
+  const inFlight = new Map<string, ActiveOrder>();
   let planner: RolePlanner | null = null;
   let loads: LoadState | null = null;
   let roleChanges = 0;
@@ -91,7 +91,7 @@
     return planner;
   }
 
-  function viewOf(spec: ServiceSpec, policy: ModelPolicy): readonly PlannerTarget[] {
+  function createTargetViews(spec: ServiceSpec, policy: ModelPolicy): readonly PlannerTarget[] {
     return spec.targets.flatMap((target) => {
       const view = policy.router.views.get(target.name);
       if (view === undefined) return [];
@@ -100,7 +100,7 @@
         failureDomain: target.failureDomain,
         role: view.role,
         accepting: view.accepting,
-        changingTo: underWay.get(target.name)?.role ?? null,
+        changingTo: inFlight.get(target.name)?.role ?? null,
         report: view.report,
       };
     });
@@ -110,20 +110,23 @@
     const policy = options.policy();
     if (policy === null || !spec.rolesMayChange) return;
     const view = {
-      targets: viewOf(spec, policy),
+      targets: createTargetViews(spec, policy),
       demand: [...demand.values()],
       entriesAlive: options.entriesAlive(),
     };
     const { orders, events } = planRoles(plannerOf(spec), view, options.nowMs());
     for (const event of events) telemetry.emit(event);
     for (const { target, role } of orders) {
-      if (mayBegin(spec, target, ChangeKind.RoleChange)) giveRoleOrder(spec, target, role);
+      if (mayStartChange(spec, target, ChangeKind.RoleChange)) issueRoleOrder(spec, target, role);
     }
   }
 
-  /** The floor and the one-domain-at-a-time rule, over what is already under way. */
-  function mayBegin(spec: ServiceSpec, target: string, kind: ChangeKind): boolean {
-    const standing = {
+  /**
+   * Checks the minimum number of targets and the rule that only one failure domain changes at a
+   * time, with regard to the orders in progress.
+   */
+  function mayStartChange(spec: ServiceSpec, target: string, kind: ChangeKind): boolean {
+    const snapshot = {
       name: spec.name,
       dependsOn: spec.dependsOn,
       floorTargets: spec.floorTargets,
@@ -142,18 +145,18 @@
       forced: false,
       askedAtMs: options.nowMs(),
     };
-    return admitChanges([standing], [request], new Set(underWay.keys())).admitted.length > 0;
+    return admitChanges([snapshot], [request], new Set(inFlight.keys())).admitted.length > 0;
   }
 
-  function giveRoleOrder(spec: ServiceSpec, target: string, role: EngineRole): void {
+  function issueRoleOrder(spec: ServiceSpec, target: string, role: EngineRole): void {
     const found = spec.targets.find((one) => one.name === target);
     if (found === undefined) return;
-    give(found, role, true, { kind: OrderKind.SetRole, role }, (failure) => {
+    issueOrder(found, role, true, { kind: OrderKind.SetRole, role }, (failure) => {
       if (failure === null) roleChanges += 1;
     });
   }
 
-  function give(
+  function issueOrder(
     target: TargetSpec,
     role: EngineRole | null,
     drains: boolean,
@@ -172,35 +175,35 @@
       rpc: options.rpc,
       mayOrder: lease.mayOrder,
       onSent: () => {
-        const figures = { ...flatten(body), fence: lease.state.fence };
+        const figures = { ...stringifyValues(body), fence: lease.state.fence };
         telemetry.emit({ kind: EventKind.OrderGiven, service, target: target.name, figures });
       },
       onEnded: (failure) => {
-        underWay.delete(target.name);
+        inFlight.delete(target.name);
         onEnded(failure);
       },
     });
-    underWay.set(target.name, { driver, role });
+    inFlight.set(target.name, { driver, role });
   }
 
   async function planLoading(spec: ServiceSpec): Promise<void> {
     const { weightStore } = options;
-    const wishes = wishesOf(spec);
-    if (weightStore === null || wishes.length === 0) return;
+    const requests = findRequestedLoads(spec);
+    if (weightStore === null || requests.length === 0) return;
     const status = await weightStore.status();
     if (status.isErr() || !lease.mayOrder()) return;
     loads ??= createLoads(LOAD_OPTIONS, options.nowMs());
     const context = { nowMs: options.nowMs(), random: options.random };
-    for (const wish of planLoads(loads, wishes, status.value, context)) giveLoadOrder(spec, wish);
+    for (const load of planLoads(loads, requests, status.value, context)) issueLoad(spec, load);
   }
 
-  function wishesOf(spec: ServiceSpec): readonly LoadWish[] {
+  function findRequestedLoads(spec: ServiceSpec): readonly LoadWish[] {
     return spec.targets.flatMap((target) => {
-      const lacks = missing.get(target.name);
-      if (lacks === undefined || underWay.has(target.name) || !directory.isOpen(target)) return [];
-      const sizeMb = spec.models.find((model) => model.name === lacks.model)?.sizeMb ?? 0;
+      const load = missing.get(target.name);
+      if (load === undefined || inFlight.has(target.name) || !directory.isOpen(target)) return [];
+      const sizeMb = spec.models.find((model) => model.name === load.model)?.sizeMb ?? 0;
       return {
-        ...lacks,
+        ...load,
         target: target.name,
         service: spec.name,
         failureDomain: target.failureDomain,
@@ -210,36 +213,39 @@
     });
   }
 
-  function giveLoadOrder(spec: ServiceSpec, wish: LoadWish): void {
-    const target = spec.targets.find((one) => one.name === wish.target);
+  function issueLoad(spec: ServiceSpec, load: LoadWish): void {
+    const target = spec.targets.find((one) => one.name === load.target);
     if (target === undefined) return;
-    const { model, version, adapter } = wish;
-    const figures = { model, version, adapter: adapter ?? '', holders: wish.holders };
+    const { model, version, adapter } = load;
+    const figures = { model, version, adapter: adapter ?? '', holders: load.holders };
     const reason = 'the engine lacks it and the weight store has room';
     telemetry.emit({
       kind: EventKind.LoadDecision,
       service: spec.name,
-      target: wish.target,
+      target: load.target,
       reason,
       figures,
     });
     const body = { kind: OrderKind.LoadModel, model, version, adapter };
-    give(target, null, false, body, (failure) => {
+    issueOrder(target, null, false, body, (failure) => {
       if (loads === null) return;
       const outcome = failure === null ? LoadOutcome.Done : LoadOutcome.Failed;
-      loadEnded(loads, wish.target, outcome, { nowMs: options.nowMs(), random: options.random });
-      if (failure === null) missing.delete(wish.target);
+      loadEnded(loads, load.target, outcome, {
+        nowMs: options.nowMs(),
+        random: options.random,
+      });
+      if (failure === null) missing.delete(load.target);
     });
   }
 
   return {
-    noteDemand: (report) => {
+    recordDemand: (report) => {
       if (demand.size >= MAX_DEMAND_REPORTS && !demand.has(report.entry)) return;
       demand.set(report.entry, report);
     },
-    noteMissing: (target, lacks) => {
-      if (lacks === null) missing.delete(target);
-      else missing.set(target, lacks);
+    setMissingLoad: (target, load) => {
+      if (load === null) missing.delete(target);
+      else missing.set(target, load);
     },
     plan: async () => {
       const spec = directory.service(options.service);
@@ -248,12 +254,12 @@
       await planLoading(spec);
     },
     tick: () => {
-      for (const { driver } of [...underWay.values()]) driver.tick();
+      for (const { driver } of [...inFlight.values()]) driver.tick();
     },
     roleChanges: () => roleChanges,
   };
 }
 
-function flatten(body: Readonly<Record<string, unknown>>): Record<string, string> {
+function stringifyValues(body: Readonly<Record<string, unknown>>): Record<string, string> {
   return Object.fromEntries(Object.entries(body).map(([name, value]) => [name, String(value)]));
 }
