--- a/packages/daemon/src/sidecar/load-reporter.ts
+++ b/packages/daemon/src/sidecar/load-reporter.ts
@@ -72,7 +72,7 @@
 
   function encoded(): readonly unknown[] {
     if (load === null) return [];
-    const { sequence, epoch, ...counts } = load;
+    const { sequence, epoch, ...figures } = load;
     return encodeLoad({
       target: options.target,
       ageMs: options.nowMs() - readAtMs,
@@ -81,7 +81,7 @@
       role: role ?? EngineRole.Mixed,
       accepting: options.accepting(),
       missing,
-      ...counts,
+      ...figures,
     });
   }
 
