--- a/packages/daemon/src/wiring/process.ts
+++ b/packages/daemon/src/wiring/process.ts
@@ -1,4 +1,4 @@
-/** What every daemon process has, whichever kind it is. */
+/** Declares the context that the parts of every daemon process share, for entries and sidecars. */
 import type { Clocks, Hashing, Random } from '@cassiamast/coordination';
 import type { ConsolaInstance } from 'consola';
 import type { KeyValueClient } from '@cassiamast/ports';
@@ -8,7 +8,7 @@
 import type { Timeline } from '../node/timeline.js';
 import type { TrafficMeter } from '../node/traffic-meter.js';
 
-/** The surroundings of a process, made once at its start. */
+/** Clocks, clients and telemetry of a process, created once at its start. */
 export interface ProcessContext {
   readonly memberId: string;
   readonly clocks: Clocks;
@@ -21,6 +21,6 @@
   readonly telemetry: Telemetry;
   readonly timeline: Timeline;
   readonly traffic: TrafficMeter;
-  /** Member ids to join through: the settings' peers and what the VM list shows. */
+  /** Ids of the members through which this process joins: the peers from the settings. */
   readonly seeds: readonly string[];
 }
--- a/packages/daemon/src/wiring/start-process.ts
+++ b/packages/daemon/src/wiring/start-process.ts
@@ -1,6 +1,6 @@
 /**
- * Starts a whole process from its settings: makes the surroundings, wires the parts of its kind
- * and puts them under one root supervisor.
+ * Starts a complete process from its settings: creates the shared context, wires the parts for the
+ * kind of process and runs them under one root supervisor. Stopping the process drains it first.
  */
 import { randomInt } from 'node:crypto';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -37,12 +37,12 @@
 const DRAIN_POLL_MS = 50;
 const SIGNIFICANT_DIGITS = 2;
 
-/** A process that runs. */
+/** Handle of a running process. */
 export interface RunningProcess {
   readonly stop: () => Promise<void>;
 }
 
-/** Starts a process; `onFailure` is told when a part keeps failing. */
+/** Starts a process; calls `onFailure` when a part keeps failing after its restarts. */
 export async function startProcess(
   loaded: LoadedSettings,
   onFailure: (failure: Failure) => void,
@@ -68,7 +68,7 @@
     traffic,
     seeds: settings.peers,
   };
-  const wired = wire(context, settings);
+  const wired = wireParts(context, settings);
   const root = createSupervisor({
     name: 'root',
     children: wired.children,
@@ -94,7 +94,10 @@
   };
 }
 
-/** Durations are recorded by entries only; see {@link createTelemetry}. */
+/**
+ * Loads the histogram library for entries only, which record durations; see {@link
+ * createTelemetry}.
+ */
 async function histogramsFor(kind: MemberKind): Promise<NewHistogram | null> {
   if (kind === MemberKind.Sidecar) return null;
   const { build } = await import('hdr-histogram-js');
@@ -102,18 +105,20 @@
     build({ highestTrackableValue, numberOfSignificantValueDigits: SIGNIFICANT_DIGITS });
 }
 
-/** A wired process of either kind, as its shutdown sees it. */
-interface Wired {
+/** Parts of a process of either kind, with the operations that its shutdown needs. */
+interface WiredProcess {
   readonly children: readonly Child[];
-  /** Tells members and the balancer that no new work is wanted; what comes is still taken. */
+  /**
+   * Announces to members and the load balancer that the process leaves; new work is still accepted.
+   */
   readonly announceLeaving: () => void;
   readonly stopAccepting: () => void;
-  /** Answers or attempts that a shutdown must not cut. */
+  /** Number of answers or attempts that a shutdown must not cut off. */
   readonly running: () => number;
   readonly drainMs: () => number;
 }
 
-function wire(context: ProcessContext, settings: Settings): Wired {
+function wireParts(context: ProcessContext, settings: Settings): WiredProcess {
   if (settings.kind === MemberKind.Entry) {
     const entry = wireEntry(context, settings);
     return { ...entry, running: entry.openAnswers };
@@ -123,25 +128,26 @@
 }
 
 /**
- * Graceful shutdown by the library's drain: work that is on its way is still taken until everybody
- * has noticed, then the running work ends. What is left at the end goes on elsewhere: a sidecar's
- * streams in the engine, an entry's answers at their sidecars, for the callers that come back.
+ * Shuts down gracefully with the library's drain. Work in transit is accepted until the notice period
+ * is over; then running work may finish until the drain deadline. Work that is left at the deadline
+ * continues elsewhere: a sidecar's streams in the engine, and an entry's answers at their sidecars,
+ * where retrying callers can resume them.
  */
-async function drain(wired: Wired, noticeMs: number, nowMs: () => number): Promise<void> {
+async function drain(wired: WiredProcess, noticeMs: number, nowMs: () => number): Promise<void> {
   const state = createDrain({ ...DRAIN_OPTIONS, noticeMs, drainMs: wired.drainMs() });
-  let isOver = false;
+  let isDrained = false;
 
   function perform(effects: readonly DrainEffect[]): void {
     for (const { kind } of effects) {
       if (kind === DrainEffectKind.AnnounceLeaving) wired.announceLeaving();
       if (kind === DrainEffectKind.StopAccepting) wired.stopAccepting();
-      if (kind === DrainEffectKind.Drained) isOver = true;
+      if (kind === DrainEffectKind.Drained) isDrained = true;
     }
   }
 
   perform(startDrain(state, nowMs()));
-  while (!isOver) {
+  while (!isDrained) {
     perform(tickDrain(state, wired.running(), nowMs()));
-    if (!isOver) await sleep(DRAIN_POLL_MS);
+    if (!isDrained) await sleep(DRAIN_POLL_MS);
   }
 }
--- a/packages/daemon/src/wiring/wire-entry.ts
+++ b/packages/daemon/src/wiring/wire-entry.ts
@@ -1,4 +1,7 @@
-/** Wires an entry: the parts of the supervisor tree and who hears of what. */
+/**
+ * Wires an entry: creates its parts, connects their callbacks and returns them in the order in which
+ * the supervisor starts them.
+ */
 import { randomUUID } from 'node:crypto';
 import {
   type Configuration,
@@ -40,28 +43,34 @@
 import type { ProcessContext } from './process.js';
 import { wireMember } from './wire-member.js';
 
-const PUMP_MS = 10;
-const SHED_MS = 250;
-const TARGET_GAUGES_MS = 1_000;
-/** A fleet that has lost half of its targets must still be served once an entry restarts. */
+const QUEUE_PUMP_INTERVAL_MS = 10;
+const SHEDDING_INTERVAL_MS = 250;
+const TARGET_GAUGES_INTERVAL_MS = 1_000;
+/**
+ * After this time an entry serves even if it has met at most half of its targets, so that an entry
+ * which restarts in a fleet that has lost half of its targets still serves the rest.
+ */
 const JOIN_GRACE_MS = 10_000;
-const LEDGER_MS = 60_000;
-/** Until the ledger was read once nothing is dispatched. */
-const LEDGER_RETRY_MS = 300;
-/** An earlier submission matters until its record is dropped; before the first text, this long. */
+const LEDGER_READ_INTERVAL_MS = 60_000;
+/** Short, because nothing is dispatched before the first successful read of the poison ledger. */
+const LEDGER_RETRY_INTERVAL_MS = 300;
+/**
+ * How long an earlier submission of a request matters before the first configuration is known.
+ * Afterwards it matters until its record is dropped, which the configuration determines.
+ */
 const DEFAULT_HORIZON_MS = 1_200_000;
 
-/** An entry with what its shutdown needs. */
+/** Parts of an entry, with the operations that its shutdown needs. */
 export interface WiredEntry {
   readonly children: readonly Child[];
-  /** Requests of connected callers that have no whole answer yet. */
+  /** Number of requests from connected callers whose answer is not complete yet. */
   readonly openAnswers: () => number;
   readonly announceLeaving: () => void;
   readonly stopAccepting: () => void;
   readonly drainMs: () => number;
 }
 
-/** The parts of an entry, in the order of their start. */
+/** Creates the parts of an entry, in the order of their start. */
 export function wireEntry(context: ProcessContext, settings: EntrySettings): WiredEntry {
   const { clocks, hashing, random, rpc, telemetry } = context;
   const nowMs = clocks.monotonicMs;
@@ -79,12 +88,12 @@
   const member = wireMember(context, settings, {
     kind: MemberKind.Entry,
     target: '',
-    onInForce: ({ compiled }) => {
+    onConfigurationApplied: ({ compiled }) => {
       configuration = compiled;
       authenticate = createAuthenticate(compiled.workspaces);
       policies.refresh();
     },
-    onMembers: (changed) => {
+    onMemberChanged: (changed) => {
       contacts.changed(changed);
       policies.refresh();
       requests.membersChanged();
@@ -95,7 +104,7 @@
     onSuspicion: () => undefined,
     onDatagram: (_from, method, params) => {
       if (method === (RpcMethod.DemandReport as string)) planning.heardDemand(params);
-      else if (method === (RpcMethod.LoadReport as string)) takeLoad(params);
+      else if (method === (RpcMethod.LoadReport as string)) handleLoadReport(params);
     },
   });
 
@@ -121,7 +130,7 @@
     configuration: () => configuration,
     directory,
     entriesAlive: () =>
-      member.membership.present().filter((one) => one.kind === MemberKind.Entry).length,
+      member.membership.present().filter((candidate) => candidate.kind === MemberKind.Entry).length,
     emit: telemetry.emit,
   });
 
@@ -142,7 +151,7 @@
     poison: member.poison,
     callHolder: member.holder.callHolder,
     policyOf: policies.of,
-    noteLoad: takeLoad,
+    noteLoad: handleLoadReport,
     driveContext,
     noteAnswered: figures.answered,
     noteRefused: figures.refused,
@@ -160,18 +169,18 @@
     { readonly budget: RetryBudget; readonly options: RetryOptions }
   >();
 
-  function budgetOf(service: string): { budget: RetryBudget; options: RetryOptions } {
-    const known = budgets.get(service);
-    if (known !== undefined) return known;
+  function retryBudgetOf(service: string): { budget: RetryBudget; options: RetryOptions } {
+    const existing = budgets.get(service);
+    if (existing !== undefined) return existing;
     const ratio = directory.service(service)?.retryBudgetRatio ?? DEFAULT_DRIVE_OPTIONS.retry.ratio;
     const options = { ...DEFAULT_DRIVE_OPTIONS.retry, ratio };
-    const made = { budget: createRetryBudget(options), options };
-    budgets.set(service, made);
-    return made;
+    const created = { budget: createRetryBudget(options), options };
+    budgets.set(service, created);
+    return created;
   }
 
   function driveContext(request: DriveRequest, keyIsFresh: boolean): DriveContext {
-    const { budget, options } = budgetOf(request.service);
+    const { budget, options } = retryBudgetOf(request.service);
     return {
       nowMs: nowMs(),
       random,
@@ -212,25 +221,30 @@
     drainMs: () => configuration?.limits.drainMs ?? 0,
   });
 
-  function takeLoad(params: unknown): void {
+  function handleLoadReport(params: unknown): void {
     const load = decodeLoad(params, nowMs());
     if (load === null) return;
     policies.noteLoad(load.report);
     planning.noteLoad(load);
   }
 
-  /** An entry that has not met its targets yet would refuse what another entry can serve. */
+  /**
+   * Returns whether the entry has met more than half of its targets, or {@link JOIN_GRACE_MS} has
+   * passed. Before that it would reject requests that another entry can serve.
+   */
   function hasJoined(): boolean {
     const targets = (configuration?.services ?? []).flatMap((service) => service.targets);
-    const met = targets.filter(({ sidecar }) => member.isLive(formatAddress(sidecar)));
-    joined ||= met.length * 2 > targets.length || nowMs() - startedAtMs > JOIN_GRACE_MS;
+    const liveTargets = targets.filter(({ sidecar }) => member.isLive(formatAddress(sidecar)));
+    joined ||= liveTargets.length * 2 > targets.length || nowMs() - startedAtMs > JOIN_GRACE_MS;
     return joined;
   }
 
   function notServingReason(): string | null {
     if (isStopped) return 'it is shutting down';
-    const refused = member.configuration.newWorkRefused();
-    return refused === null && !hasJoined() ? 'it has not met its targets yet' : refused;
+    const refusalReason = member.configuration.newWorkRefused();
+    return refusalReason === null && !hasJoined()
+      ? 'it has not met its targets yet'
+      : refusalReason;
   }
 
   const statusOptions: ProcessStatusOptions = {
@@ -271,7 +285,7 @@
     makeKey: randomUUID,
     onTurnedAway: (idempotencyKey, reason) => {
       telemetry.count('requests_turned_away_total');
-      // The workspace is not known yet, so the event names the key as the caller wrote it.
+      // The workspace is not known yet, so the event carries the caller's idempotency key unchanged.
       const request = idempotencyKey === null ? {} : { request: idempotencyKey };
       telemetry.emit({ kind: EventKind.RequestRefused, reason, ...request });
     },
@@ -305,14 +319,16 @@
       }),
       createPeriodic(
         'poison-ledger-reader',
-        () => (member.poison.isRead() ? LEDGER_MS : LEDGER_RETRY_MS) * (0.5 + random()),
+        () =>
+          (member.poison.isRead() ? LEDGER_READ_INTERVAL_MS : LEDGER_RETRY_INTERVAL_MS) *
+          (0.5 + random()),
         () => member.poison.readLedger(serviceNames()),
       ),
       ...planning.children,
-      createPeriodic('queue-pump', () => PUMP_MS, policies.pump),
+      createPeriodic('queue-pump', () => QUEUE_PUMP_INTERVAL_MS, policies.pump),
       createPeriodic(
         'target-gauges',
-        () => TARGET_GAUGES_MS,
+        () => TARGET_GAUGES_INTERVAL_MS,
         () => {
           setTargetGauges({
             services: () => configuration?.services ?? [],
@@ -324,7 +340,7 @@
       ),
       createPeriodic(
         'shedding',
-        () => SHED_MS,
+        () => SHEDDING_INTERVAL_MS,
         () => {
           policies.shed(requests.count() / MAX_RUNS);
         },
--- a/packages/daemon/src/wiring/wire-member.ts
+++ b/packages/daemon/src/wiring/wire-member.ts
@@ -1,6 +1,7 @@
 /**
- * Wires what every member has: datagrams, membership, the configuration and the telemetry, and the
- * calls that members make on each other for these.
+ * Wires the parts that every member has, entry or sidecar: datagrams, membership, configuration,
+ * record placement, claims, the poison ledger and telemetry, with the handlers for the calls that
+ * members make to each other for these.
  */
 import {
   type ClaimRequest,
@@ -42,11 +43,11 @@
 
 const MS_PER_S = 1_000;
 const US_PER_MS = 1_000;
-const GAUGES_MS = 1_000;
-/** Names the choice of the members that watch the configuration. */
+const GAUGES_INTERVAL_MS = 1_000;
+/** Key under which placement picks the members that watch the configuration. */
 const CONFIGURATION_WATCH = 'configuration';
 
-/** What the kinds of daemon build on. */
+/** Parts of a member on which both entries and sidecars build. */
 export interface MemberParts {
   readonly children: readonly Child[];
   readonly handlers: Readonly<Record<string, RpcHandler>>;
@@ -57,26 +58,26 @@
   readonly holder: HolderDriver;
   readonly takeClaim: TakeClaim;
   readonly poison: PoisonDriver;
-  /** Whether the member was met and is not dead. */
+  /** Whether the member is known and not dead. */
   readonly isLive: (memberId: string) => boolean;
-  /** The same, or this process is too young to have met it. */
+  /** Like `isLive`, but also true while this process started too recently to know the member. */
   readonly mayBeAlive: (memberId: string) => boolean;
   readonly configurationSinceWallMs: () => number;
 }
 
-/** What a kind of daemon hears of. */
+/** Properties of a kind of daemon, and the callbacks that notify it of changes. */
 export interface MemberHooks {
   readonly kind: MemberKind;
   readonly target: string;
-  readonly onInForce: (configuration: MemberConfiguration) => void;
-  readonly onMembers: (changed: Member) => void;
+  readonly onConfigurationApplied: (configuration: MemberConfiguration) => void;
+  readonly onMemberChanged: (changed: Member) => void;
   readonly onLoneRunReply: (reply: LoneRunReply) => void;
   readonly onSuspicion: (bodyHash: string, isSuspect: boolean) => void;
-  /** Datagrams that are neither membership's nor the configuration's. */
+  /** Receives the datagrams that no part of the member handles itself. */
   readonly onDatagram: (from: string, method: string, params: unknown) => void;
 }
 
-/** Makes the parts; nothing runs before the children are started. */
+/** Creates the parts; nothing runs before the children are started. */
 export function wireMember(
   context: ProcessContext,
   settings: Settings,
@@ -84,7 +85,7 @@
 ): MemberParts {
   const { clocks, random, hashing, rpc, telemetry } = context;
   let answerRetentionMs = DEFAULT_HOLDER_OPTIONS.answerRetentionMs;
-  let inForceSinceWallMs = 0;
+  let appliedSinceWallMs = 0;
 
   const datagrams = createDatagrams(settings.control, context.proof, (from, method, params) => {
     if (method === (RpcMethod.ConfigAnnounce as string)) configuration.announced(from, params);
@@ -115,7 +116,7 @@
     onMembers: (changed) => {
       placement.membersChanged();
       holder.placementChanged();
-      hooks.onMembers(changed);
+      hooks.onMemberChanged(changed);
     },
   });
 
@@ -174,28 +175,30 @@
     answeredRatio: () => answeredRatio(membership.state),
     onInForce: (inForce) => {
       answerRetentionMs = inForce.compiled.limits.answerRetentionMs;
-      inForceSinceWallMs = clocks.wallMs();
+      appliedSinceWallMs = clocks.wallMs();
       context.log.info(`configuration ${String(inForce.version)} is in force`);
-      hooks.onInForce(inForce);
+      hooks.onConfigurationApplied(inForce);
     },
   });
 
   let gaugesDueAtMs = Infinity;
   let timerLateMaxMs = 0;
 
-  /** How late this process's timers fire: a process without processor time misses its timeouts. */
-  function takeLateness(): void {
+  /** Records how late timers fire. A process that gets too little CPU time misses its timeouts. */
+  function recordTimerDelay(): void {
     const nowMs = clocks.monotonicMs();
     const lateMs = Math.max(0, nowMs - gaugesDueAtMs);
-    gaugesDueAtMs = nowMs + GAUGES_MS;
+    gaugesDueAtMs = nowMs + GAUGES_INTERVAL_MS;
     timerLateMaxMs = Math.max(timerLateMaxMs, lateMs);
     telemetry.gauge('timer_late_ms', lateMs);
     telemetry.gauge('timer_late_max_ms', timerLateMaxMs);
   }
 
-  /** What the process costs, for the operators and for docs/CAPACITY.md. */
-  function takeGauges(): void {
-    takeLateness();
+  /**
+   * Records the resource usage of the process, for operators and the figures in docs/CAPACITY.md.
+   */
+  function recordGauges(): void {
+    recordTimerDelay();
     const tcp = context.traffic.read();
     const { user, system } = process.cpuUsage();
     telemetry.gauge('tcp_received_bytes', tcp.receivedBytes);
@@ -215,7 +218,7 @@
       configuration.child,
       holder.child,
       poison.child,
-      createPeriodic('process-gauges', () => GAUGES_MS, takeGauges),
+      createPeriodic('process-gauges', () => GAUGES_INTERVAL_MS, recordGauges),
     ],
     handlers: {
       ...holder.handlers,
@@ -245,20 +248,23 @@
     poison,
     isLive,
     mayBeAlive: memberMayBeAlive,
-    configurationSinceWallMs: () => inForceSinceWallMs,
+    configurationSinceWallMs: () => appliedSinceWallMs,
   };
 }
 
-/** Names of membership's datagrams begin with this. */
+/** Prefix of the method names of membership datagrams. */
 const MEMBERSHIP_PREFIX = 'member.';
 
-/** Hands a result's value on, or throws its failure for the transport to answer with. */
+/**
+ * Returns the value of a result.
+ * @throws FailureError with the failure of the result; the transport answers the call with it.
+ */
 export function orThrow<Value>(result: Result<Value, Failure>): Value {
   if (result.isErr()) throw new FailureError(result.error);
   return result.value;
 }
 
-/** The event that marks the start of a process on the time line. */
+/** Creates the time line event that marks the start of a process. */
 export function startedEvent(
   kind: MemberKind,
   failureDomain: string,
--- a/packages/daemon/src/wiring/wire-sidecar.ts
+++ b/packages/daemon/src/wiring/wire-sidecar.ts
@@ -1,4 +1,7 @@
-/** Wires a sidecar: the parts of the supervisor tree and who hears of what. */
+/**
+ * Wires a sidecar: creates its parts, connects their callbacks and returns them in the order in which
+ * the supervisor starts them. Replaces the backend when the configuration changes its address.
+ */
 import {
   type Configuration,
   HostEventKind,
@@ -27,7 +30,7 @@
 import type { ProcessContext } from './process.js';
 import { wireMember } from './wire-member.js';
 
-/** A sidecar with what its shutdown needs. */
+/** Parts of a sidecar, with the operations that its shutdown needs. */
 export interface WiredSidecar {
   readonly children: readonly Child[];
   readonly openAttempts: () => number;
@@ -36,19 +39,19 @@
   readonly drainMs: () => number;
 }
 
-/** The target beside this process as the configuration in force has it. */
-interface Beside {
+/** The target that this sidecar serves, as the active configuration describes it. */
+interface LocalTarget {
   readonly service: string;
   readonly kind: TargetKind;
   readonly spec: TargetSpec;
 }
 
-/** The parts of a sidecar, in the order of their start. */
+/** Creates the parts of a sidecar, in the order of their start. */
 export function wireSidecar(context: ProcessContext, settings: SidecarSettings): WiredSidecar {
   const { clocks, telemetry } = context;
   const nowMs = clocks.monotonicMs;
   let configuration: Configuration | null = null;
-  let beside: Beside | null = null;
+  let localTarget: LocalTarget | null = null;
   let backend: Backend | null = null;
   let engine: EngineClient | null = null;
   let engineBackend: EngineBackend | null = null;
@@ -59,12 +62,12 @@
   const member = wireMember(context, settings, {
     kind: MemberKind.Sidecar,
     target: settings.target,
-    onInForce: ({ compiled }) => {
+    onConfigurationApplied: ({ compiled }) => {
       configuration = compiled;
-      takeTarget(findTarget(compiled, settings.target));
+      applyTarget(findTarget(compiled, settings.target));
       applyDrain();
     },
-    onMembers: () => {
+    onMemberChanged: () => {
       host.handle({ kind: HostEventKind.MembersChanged });
     },
     onLoneRunReply: () => undefined,
@@ -102,10 +105,10 @@
     nowMs,
     engine: () => engine,
     accepting: () => !host.state.draining,
-    wantedModels: () => findService(configuration, beside)?.models ?? [],
+    wantedModels: () => findService(configuration, localTarget)?.models ?? [],
     onRead: (epoch) => {
       engineBackend?.noteEpoch(epoch);
-      void noteInherited();
+      void reportInheritedStreams();
     },
     sendDatagram: member.datagrams.send,
   });
@@ -116,8 +119,9 @@
     keyValue: context.keyValue,
     telemetry,
     engine: () => engine,
-    service: () => beside?.service ?? null,
-    // Streams that a former sidecar left in the engine would be cut by an order as well.
+    service: () => localTarget?.service ?? null,
+    // An order would also cut off streams that an earlier sidecar process left in the engine. Until
+    // their number is known, one is assumed.
     runningCount: () => host.runningCount() + (host.state.inherited?.count ?? 1),
     onDrain: (draining) => {
       isGateDraining = draining;
@@ -127,19 +131,19 @@
 
   const prefill = createPrefill({ rpc: context.rpc, engine: () => engine, telemetry });
 
-  function takeTarget(found: Beside | null): void {
-    const before = beside === null ? '' : formatAddress(beside.spec.backend);
-    const after = found === null ? '' : formatAddress(found.spec.backend);
-    beside = found;
-    if (before === after) return;
+  function applyTarget(found: LocalTarget | null): void {
+    const previousAddress = localTarget === null ? '' : formatAddress(localTarget.spec.backend);
+    const nextAddress = found === null ? '' : formatAddress(found.spec.backend);
+    localTarget = found;
+    if (previousAddress === nextAddress) return;
     backend?.retire();
     engine = null;
     engineBackend = null;
-    backend = found === null ? null : makeBackend(found);
+    backend = found === null ? null : createBackend(found);
   }
 
-  function makeBackend(found: Beside): Backend {
-    // The engine is on the same VM: what is said to it is no control traffic on the network.
+  function createBackend(found: LocalTarget): Backend {
+    // The engine runs on the same VM, so traffic to it is not control traffic on the network.
     context.traffic.leaveOut(found.spec.backend.port);
     const address = `http://${formatAddress(found.spec.backend)}`;
     if (found.kind === TargetKind.PlainService) {
@@ -153,23 +157,32 @@
   }
 
   /**
-   * Streams that a former sidecar left in the engine, as of now: a load report is old, and a lone
-   * run that waited for its last stream to end would wait for ever. A lone run has nothing beside
-   * it, so a single stream may be one.
+   * Reports the streams that an earlier sidecar process left in the engine. Asks the engine for the
+   * current list, because load reports are stale and a lone run that waits for the last of these
+   * streams to end could wait forever. A single stream may itself be a lone run, since a lone run is
+   * the only one on its target.
    */
-  async function noteInherited(): Promise<void> {
+  async function reportInheritedStreams(): Promise<void> {
     if (host.state.inherited?.count === 0) return;
     const running = await engine?.runningStreams();
     if (running?.isOk() !== true) return;
-    const foreign = running.value.filter((streamId) => !host.state.attempts.has(streamId));
-    const inherited = { count: foreign.length, mayBeLone: foreign.length === 1 };
+    const inheritedStreamIds = running.value.filter(
+      (streamId) => !host.state.attempts.has(streamId),
+    );
+    const inherited = {
+      count: inheritedStreamIds.length,
+      mayBeLone: inheritedStreamIds.length === 1,
+    };
     host.handle({ kind: HostEventKind.EngineInherited, inherited });
   }
 
-  /** No new work while the process stops or the operators have withdrawn the target. */
+  /**
+   * Starts or ends draining: no new work while the process stops, the gate drains or the target is
+   * withdrawn.
+   */
   function applyDrain(): void {
-    const isOut = beside === null || beside.spec.withdrawn;
-    const draining = isStopped || isGateDraining || isOut;
+    const isWithdrawn = localTarget === null || localTarget.spec.withdrawn;
+    const draining = isStopped || isGateDraining || isWithdrawn;
     if (draining === host.state.draining) return;
     host.handle({ kind: HostEventKind.DrainChanged, draining });
   }
@@ -185,7 +198,7 @@
     configurationSinceWallMs: member.configurationSinceWallMs,
     telemetry,
     isStopping: () => isLeaving,
-    // The entries say how the services stand; a sidecar knows but its own target.
+    // Entries report the state of the services; a sidecar knows only its own target.
     services: () => [],
   };
 
@@ -224,7 +237,7 @@
   };
 }
 
-function findTarget(configuration: Configuration, name: string): Beside | null {
+function findTarget(configuration: Configuration, name: string): LocalTarget | null {
   for (const service of configuration.services) {
     const spec = service.targets.find((candidate) => candidate.name === name);
     if (spec !== undefined) return { service: service.name, kind: service.kind, spec };
@@ -234,7 +247,7 @@
 
 function findService(
   configuration: Configuration | null,
-  beside: Beside | null,
+  localTarget: LocalTarget | null,
 ): ServiceSpec | null {
-  return configuration?.services.find((service) => service.name === beside?.service) ?? null;
+  return configuration?.services.find((service) => service.name === localTarget?.service) ?? null;
 }
--- a/packages/daemon/test/wiring/stop-signals.test.ts
+++ b/packages/daemon/test/wiring/stop-signals.test.ts
@@ -1,4 +1,7 @@
-/** What a daemon does with the signals that stop it, as a process of its own. */
+/**
+ * Tests how a daemon handles stop signals and uncaught errors, in the test and as a separate
+ * process.
+ */
 import assert from 'node:assert/strict';
 import { type ChildProcess, spawn } from 'node:child_process';
 import { EventEmitter, once } from 'node:events';
@@ -15,23 +18,23 @@
 
 const MAIN = new URL('../../src/main.js', import.meta.url).pathname;
 const HOST = '127.0.0.1';
-/** Long enough for a signal to reach the process while it stops. */
+/** Long enough for a second signal to reach the process while it stops. */
 const NOTICE_MS = 500;
 
-/** A daemon as a process of its own. */
+/** A daemon that runs as a separate process. */
 interface Daemon {
   readonly kill: (signal: NodeJS.Signals) => void;
-  /** Exit code and signal. */
+  /** Resolves to the exit code and the signal. */
   readonly exit: Promise<unknown[]>;
-  /** Resolves when its log has this text. */
-  readonly says: (what: string) => Promise<void>;
+  /** Resolves when the log contains the text. */
+  readonly waitForLog: (text: string) => Promise<void>;
 }
 
-/** Runs a process within the test; `ends` takes its exit codes. */
+/** Runs a process within the test and appends its exit codes to `exitCodes`. */
 function run(
   source: EventEmitter,
   stop: () => Promise<void>,
-  ends: ExitCode[],
+  exitCodes: ExitCode[],
   reported: string[] = [],
 ): Promise<void> {
   const options: ProcessOptions = {
@@ -42,57 +45,57 @@
       reported.push(message);
       done();
     },
-    exit: (code) => ends.push(code),
+    exit: (code) => exitCodes.push(code),
   };
   runProcess(source, options);
   return nextTurn();
 }
 
-describe('signals that stop', () => {
-  it('stop once, whichever come', async () => {
+describe('stop signals', () => {
+  it('stop the process once, however many arrive', async () => {
     const source = new EventEmitter();
     const stopped = withResolvers<undefined>();
     let stops = 0;
-    const ends: ExitCode[] = [];
+    const exitCodes: ExitCode[] = [];
     const stop = (): Promise<void> => {
       stops += 1;
       return stopped.promise;
     };
-    await run(source, stop, ends);
+    await run(source, stop, exitCodes);
     for (const signal of ['SIGTERM', 'SIGINT', 'SIGTERM']) source.emit(signal);
-    assert.deepEqual([stops, ends], [1, []]);
+    assert.deepEqual([stops, exitCodes], [1, []]);
     stopped.resolve(undefined);
-    await waitFor(() => ends.length > 0);
-    assert.deepEqual([stops, ends], [1, [ExitCode.Stopped]]);
+    await waitFor(() => exitCodes.length > 0);
+    assert.deepEqual([stops, exitCodes], [1, [ExitCode.Stopped]]);
   });
 
-  it('tell that stopping failed', async () => {
+  it('report that stopping failed', async () => {
     const source = new EventEmitter();
-    const ends: ExitCode[] = [];
+    const exitCodes: ExitCode[] = [];
     const reported: string[] = [];
     const cause = 'a part does not stop';
-    await run(source, () => Promise.reject(new Error(cause)), ends, reported);
+    await run(source, () => Promise.reject(new Error(cause)), exitCodes, reported);
     source.emit('SIGTERM');
-    await waitFor(() => ends.length > 0);
-    assert.deepEqual(ends, [ExitCode.Failed]);
+    await waitFor(() => exitCodes.length > 0);
+    assert.deepEqual(exitCodes, [ExitCode.Failed]);
     assert.ok(reported[0]?.includes(cause));
   });
 
-  // Guards against a stop that throws at once, after which the process would never end.
-  it('end a process whose stop throws', async () => {
+  // A stop function that throws synchronously must not keep the process from exiting.
+  it('end a process whose stop function throws', async () => {
     const source = new EventEmitter();
-    const ends: ExitCode[] = [];
+    const exitCodes: ExitCode[] = [];
     const stop = (): never => {
       throw new Error('thrown');
     };
-    await run(source, stop, ends);
+    await run(source, stop, exitCodes);
     source.emit('SIGTERM');
-    await waitFor(() => ends.length > 0);
-    assert.deepEqual(ends, [ExitCode.Failed]);
+    await waitFor(() => exitCodes.length > 0);
+    assert.deepEqual(exitCodes, [ExitCode.Failed]);
   });
 });
 
-describe('a signal that comes before the process has started', () => {
+describe('a signal that arrives before the process has started', () => {
   const base: Omit<ProcessOptions, 'start' | 'exit'> = {
     worksWhileStarting: false,
     stopSignals: ['SIGTERM'],
@@ -101,62 +104,63 @@
     },
   };
 
-  // Guards against an announcement that outlives its process.
-  it('ends it when what it has told others is taken back', async () => {
+  // An early exit must not leave an announcement behind that others still act on.
+  it('ends the process once its announcement is withdrawn', async () => {
     const source = new EventEmitter();
-    const ends: ExitCode[] = [];
-    const taken = withResolvers<undefined>();
-    const start: ProcessOptions['start'] = (_, onTold) => {
-      onTold(() => taken.promise);
+    const exitCodes: ExitCode[] = [];
+    const withdrawn = withResolvers<undefined>();
+    const start: ProcessOptions['start'] = (_, onAnnounced) => {
+      onAnnounced(() => withdrawn.promise);
       return new Promise(() => undefined);
     };
-    runProcess(source, { ...base, start, exit: (code) => ends.push(code) });
+    runProcess(source, { ...base, start, exit: (code) => exitCodes.push(code) });
     source.emit('SIGTERM');
     await nextTurn();
-    assert.deepEqual(ends, []);
-    taken.resolve(undefined);
-    await waitFor(() => ends.length > 0);
-    assert.deepEqual(ends, [ExitCode.Stopped]);
+    assert.deepEqual(exitCodes, []);
+    withdrawn.resolve(undefined);
+    await waitFor(() => exitCodes.length > 0);
+    assert.deepEqual(exitCodes, [ExitCode.Stopped]);
   });
 
-  // Guards against an exit that cuts what a process took which began to serve meanwhile.
-  it('stops it gracefully when it has started meanwhile', async () => {
+  // The process may start serving while its announcement is withdrawn. Exiting then would cut off the
+  // work that it has accepted.
+  it('stops the process gracefully if it has started in the meantime', async () => {
     const source = new EventEmitter();
-    const ends: ExitCode[] = [];
-    const taken = withResolvers<undefined>();
+    const exitCodes: ExitCode[] = [];
+    const withdrawn = withResolvers<undefined>();
     const started = withResolvers<{ stop: () => Promise<void> }>();
     const stopped = withResolvers<undefined>();
-    const start: ProcessOptions['start'] = (_, onTold) => {
-      onTold(() => taken.promise);
+    const start: ProcessOptions['start'] = (_, onAnnounced) => {
+      onAnnounced(() => withdrawn.promise);
       return started.promise;
     };
-    runProcess(source, { ...base, start, exit: (code) => ends.push(code) });
+    runProcess(source, { ...base, start, exit: (code) => exitCodes.push(code) });
     source.emit('SIGTERM');
     started.resolve({ stop: () => stopped.promise });
     await nextTurn();
-    taken.resolve(undefined);
+    withdrawn.resolve(undefined);
     await nextTurn();
-    assert.deepEqual(ends, []);
+    assert.deepEqual(exitCodes, []);
     stopped.resolve(undefined);
-    await waitFor(() => ends.length > 0);
-    assert.deepEqual(ends, [ExitCode.Stopped]);
+    await waitFor(() => exitCodes.length > 0);
+    assert.deepEqual(exitCodes, [ExitCode.Stopped]);
   });
 });
 
-describe('an error that nothing caught', () => {
-  // Guards against a fault in one request that cuts all others.
+describe('an uncaught error', () => {
+  // A fault in one request must not cut off all other requests.
   it('stops the process gracefully, with its own exit code', async () => {
     const source = new EventEmitter();
     const stopped = withResolvers<undefined>();
-    const ends: ExitCode[] = [];
+    const exitCodes: ExitCode[] = [];
     const reported: string[] = [];
-    await run(source, () => stopped.promise, ends, reported);
+    await run(source, () => stopped.promise, exitCodes, reported);
     source.emit('uncaughtException', new Error('thrown'));
     await nextTurn();
-    assert.deepEqual(ends, []);
+    assert.deepEqual(exitCodes, []);
     stopped.resolve(undefined);
-    await waitFor(() => ends.length > 0);
-    assert.deepEqual(ends, [ExitCode.Failed]);
+    await waitFor(() => exitCodes.length > 0);
+    assert.deepEqual(exitCodes, [ExitCode.Failed]);
     assert.ok(reported[0]?.includes('thrown'));
   });
 });
@@ -191,35 +195,39 @@
     const child = spawn(process.execPath, [MAIN, '--settings', file], { env });
     children.push(child);
     let log = '';
-    child.stderr.on('data', (part: Buffer) => {
-      log += part.toString();
+    child.stderr.on('data', (chunk: Buffer) => {
+      log += chunk.toString();
     });
-    const says = (what: string): Promise<void> => waitFor(() => log.includes(what));
-    return { kill: (signal) => child.kill(signal), exit: once(child, 'exit'), says };
+    const waitForLog = (text: string): Promise<void> => waitFor(() => log.includes(text));
+    return {
+      kill: (signal) => child.kill(signal),
+      exit: once(child, 'exit'),
+      waitForLog,
+    };
   }
 
-  // Guards against a second signal that kills a process while it drains.
+  // A second signal must not kill the process while it drains.
   for (const [first, second] of [
     ['SIGTERM', 'SIGTERM'],
     ['SIGINT', 'SIGINT'],
   ] as const) {
-    it(`that stops for ${first} is not ended by a further ${second}`, async () => {
+    it(`that stops after ${first} is not ended by another ${second}`, async () => {
       const daemon = await startEntry(await freePort());
-      await daemon.says('entry serves');
+      await daemon.waitForLog('entry serves');
       daemon.kill(first);
-      await daemon.says('entry stops');
+      await daemon.waitForLog('entry stops');
       daemon.kill(second);
       assert.deepEqual(await daemon.exit, [0, null]);
     });
   }
 
-  // Guards against a signal that kills a process while some of its parts work already.
-  it('that is told to stop while it starts stops gracefully', async () => {
+  // A signal during the start must not kill the process while some of its parts already run.
+  it('stops gracefully when it is stopped while it starts', async () => {
     const port = await freePort();
     const holder = createServer();
     await new Promise<void>((resolve) => holder.listen(port, HOST, resolve));
     const daemon = await startEntry(port);
-    await daemon.says('control-server waits');
+    await daemon.waitForLog('control-server waits');
     daemon.kill('SIGTERM');
     await new Promise((resolve) => holder.close(resolve));
     assert.deepEqual(await daemon.exit, [0, null]);
