--- a/packages/daemon/src/supervisor/supervisor.ts
+++ b/packages/daemon/src/supervisor/supervisor.ts
@@ -1,19 +1,19 @@
 /**
- * The supervisor tree. A supervisor starts its children in order, restarts one that fails, and
- * stops them in reverse order. A child that keeps failing takes its supervisor down, up to the
- * root, whose end ends the process: the platform replaces it, and a fresh process is a better bet
- * than one that limps.
+ * Implements the supervisor tree. A supervisor starts its children in order, restarts a child that
+ * fails, and stops them in reverse order. When a child keeps failing, its supervisor fails too, up to
+ * the root, whose failure ends the process. The platform then replaces the process, which recovers
+ * more reliably than a process that continues with a broken part.
  */
 import type { ConsolaInstance } from 'consola';
 import { type Failure, FailureError, defineFailure } from '@cassiamast/coordination';
 import { ADDRESS_TAKEN } from '../node/failures.js';
 
-/** Part of the process: started, stopped, and able to report that it has failed meanwhile. */
+/** Part of the process that can be started and stopped, and that reports failures while it runs. */
 export interface Child {
   readonly name: string;
-  /** Resolves when the child serves; rejects with a FailureError when it can't start. */
+  /** Resolves when the child is ready; rejects with a FailureError when it can't start. */
   readonly start: (reportFailure: (failure: Failure) => void) => Promise<void>;
-  /** Resolves when the child has let go of everything. */
+  /** Resolves when the child has released all its resources. */
   readonly stop: () => Promise<void>;
 }
 
@@ -22,25 +22,29 @@
   readonly maxRestarts: number;
   readonly withinMs: number;
   readonly backoffMs: number;
-  /** Whether what kept a child from starting passes by itself; it is waited for and not counted. */
-  readonly passes: (failure: Failure) => boolean;
-  /** How long such a failure is waited for. */
-  readonly patienceMs: number;
+  /**
+   * Whether a start failure goes away by itself. Such a start is retried without counting as a
+   * restart.
+   */
+  readonly isTransient: (failure: Failure) => boolean;
+  /** How long a start is retried while its failures are transient. */
+  readonly transientWaitMs: number;
 }
 
 /**
- * Enough for a passing fault, few enough that a lasting one shows within seconds. An address is waited
- * for longer than a predecessor in the same place may take to stop, 8 s on the platforms so far.
+ * Allows enough restarts for a transient fault, but few enough that a permanent fault is reported
+ * within seconds. A taken address is retried for longer than the previous process at that address may
+ * need to stop, which is up to 8 s on the platforms in use.
  */
 export const DEFAULT_RESTART_LIMIT: RestartLimit = {
   maxRestarts: 5,
   withinMs: 10_000,
   backoffMs: 100,
-  passes: (failure) => failure.name === ADDRESS_TAKEN.name,
-  patienceMs: 10_000,
+  isTransient: (failure) => failure.name === ADDRESS_TAKEN.name,
+  transientWaitMs: 10_000,
 };
 
-/** What a supervisor needs from its surroundings. */
+/** Children, restart limit and environment of a supervisor. */
 export interface SupervisorOptions {
   readonly name: string;
   readonly children: readonly Child[];
@@ -50,7 +54,9 @@
   readonly sleep: (delayMs: number) => Promise<void>;
 }
 
-/** A child failed more often than its limit allows. */
+/**
+ * A child failed more often than the restart limit allows, or its start kept failing for too long.
+ */
 export const CHILD_KEEPS_FAILING = defineFailure({
   name: 'child-keeps-failing',
   title: 'A part of the process keeps failing',
@@ -59,12 +65,12 @@
   hint: 'The process ends so that the platform replaces it. Look at the last failure.',
 });
 
-/** Makes a child out of a group of children. */
+/** Creates a supervisor, which is itself a child and can be nested in another supervisor. */
 export function createSupervisor(options: SupervisorOptions): Child {
   const restartsAtMs = new Map<string, number[]>();
   const running: Child[] = [];
   let stopping = false;
-  let reportUp: (failure: Failure) => void = () => undefined;
+  let reportToParent: (failure: Failure) => void = () => undefined;
 
   function mayRestart(child: Child): boolean {
     const sinceMs = options.nowMs() - options.limit.withinMs;
@@ -78,7 +84,7 @@
     if (stopping) return;
     options.log.warn(`${options.name}: ${child.name} failed: ${failure.message}`);
     if (!mayRestart(child)) {
-      reportUp(CHILD_KEEPS_FAILING.of({ child: child.name, last: failure.message }));
+      reportToParent(CHILD_KEEPS_FAILING.of({ child: child.name, last: failure.message }));
       return;
     }
     await child.stop();
@@ -87,7 +93,7 @@
     await startChild(child);
   }
 
-  /** Starts a child; gives what kept it from starting, or null. */
+  /** Starts a child; returns the failure that prevented the start, or null. */
   async function tryStart(child: Child): Promise<Failure | null> {
     try {
       await child.start((failure) => void restart(child, failure));
@@ -101,25 +107,24 @@
   async function startChild(child: Child): Promise<void> {
     const failure = await tryStart(child);
     if (failure === null) return;
-    if (options.limit.passes(failure)) await waitAndStart(child, failure);
+    if (options.limit.isTransient(failure)) await waitAndStart(child, failure);
     else await restart(child, failure);
   }
 
   /**
-   * Waits for what passes by itself. Failure guarded against: a process starts while its predecessor
-   * still holds an address, or another process holds it for some seconds, and ends at once; it shows
-   * as a place that stays empty after a restart. The guard holds because the address is asked for
-   * until a predecessor must have stopped.
+   * Retries a start that fails for a transient reason. Without it, a process that starts while its
+   * predecessor or another process still holds its address for some seconds would exit at once and
+   * would not be replaced. Retrying lasts until a predecessor must have stopped.
    */
   async function waitAndStart(child: Child, first: Failure): Promise<void> {
     const { log, nowMs, limit } = options;
     const sinceMs = nowMs();
     log.warn(`${options.name}: ${child.name} waits: ${first.message}`);
     let failure: Failure | null = first;
-    while (failure !== null && limit.passes(failure)) {
+    while (failure !== null && limit.isTransient(failure)) {
       await child.stop();
-      if (nowMs() - sinceMs >= limit.patienceMs) {
-        reportUp(CHILD_KEEPS_FAILING.of({ child: child.name, last: failure.message }));
+      if (nowMs() - sinceMs >= limit.transientWaitMs) {
+        reportToParent(CHILD_KEEPS_FAILING.of({ child: child.name, last: failure.message }));
         return;
       }
       await options.sleep(limit.backoffMs);
@@ -135,7 +140,7 @@
     name: options.name,
     start: async (reportFailure) => {
       stopping = false;
-      reportUp = reportFailure;
+      reportToParent = reportFailure;
       for (const child of options.children) {
         await startChild(child);
         running.push(child);
--- a/packages/daemon/test/supervisor/supervisor.test.ts
+++ b/packages/daemon/test/supervisor/supervisor.test.ts
@@ -1,4 +1,7 @@
-/** The supervisor tree in virtual time: what passes is waited for, what lasts ends the process. */
+/**
+ * Tests the supervisor in virtual time: transient failures are retried, permanent ones are
+ * reported.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { type Failure, FailureError, defineFailure } from '@cassiamast/coordination';
@@ -13,7 +16,7 @@
   hint: 'none',
 });
 
-/** A supervisor over one child whose start fails until a moment. */
+/** A supervisor with one child whose start fails until a given time. */
 class Tree {
   nowMs = 0;
   starts = 0;
@@ -54,15 +57,14 @@
 }
 
 describe('a supervisor', () => {
-  // Story: a gateway is killed and started again. Its readiness port is held by another process for
-  // some seconds: its predecessor that is still stopping, or a passing connection. It ends by itself
-  // with code 1 after five tries within a second, and the place stays empty until somebody starts it.
-  // Seen in a soak: `listen EADDRINUSE`, twice in a row. Cause: a taken address counted like a part
-  // that is broken.
+  // A gateway is killed and restarted while its readiness port is held for some seconds, by its
+  // predecessor that is still stopping or by a temporary connection. If a taken address counts as a
+  // broken part, the gateway exits with code 1 after five attempts within a second and stays down
+  // until it is started manually. A soak test showed this as `listen EADDRINUSE`, twice in a row.
   describe('a child whose address is taken', () => {
     const taken = ADDRESS_TAKEN.of({ address: '127.0.0.1:21506', cause: 'listen EADDRINUSE' });
 
-    it('waits as long as a predecessor may take to stop', async () => {
+    it('is retried for as long as a predecessor may take to stop', async () => {
       const tree = new Tree();
       await tree.start(taken, 8_000);
       assert.deepEqual(tree.reported, []);
@@ -70,7 +72,7 @@
       assert.equal(tree.stops, tree.starts - 1);
     });
 
-    it('says that it waits, and when that is over', async () => {
+    it('logs that it waits, and when it starts', async () => {
       const tree = new Tree();
       await tree.start(taken, 3_000);
       assert.equal(tree.lines.length, 2);
@@ -78,7 +80,7 @@
       assert.match(tree.lines[1] ?? '', /readiness-server starts after 3\d{3} ms/);
     });
 
-    it('ends the process when it stays taken', async () => {
+    it('reports a failure when the address stays taken', async () => {
       const tree = new Tree();
       await tree.start(taken, Infinity);
       assert.equal(tree.reported.length, 1);
@@ -88,14 +90,14 @@
   });
 
   describe('a child that is broken', () => {
-    it('ends the process after its restarts, as before', async () => {
+    it('reports a failure after its last restart', async () => {
       const tree = new Tree();
       await tree.start(BROKEN.of(undefined), Infinity);
       assert.equal(tree.starts, 1 + DEFAULT_RESTART_LIMIT.maxRestarts);
       assert.equal(tree.reported.length, 1);
     });
 
-    it('is started again when its fault has passed', async () => {
+    it('is restarted and runs once its fault is gone', async () => {
       const tree = new Tree();
       await tree.start(BROKEN.of(undefined), 200);
       assert.equal(tree.starts, 3);
