--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,6 +1,7 @@
 /**
- * What other programs of this repository use of the daemon: starting one within a program, as tests
- * and features do, and calling a member. In production `main.ts` is the program.
+ * Exports the parts of the daemon that other programs in this repository use: running a daemon or a
+ * gateway inside another program, as tests and features do, and calling a member. In production,
+ * `main.ts` is the entry point.
  */
 export { type CallOptions, type RpcClient, createRpcClient } from './node/rpc-client.js';
 export { type MemberProof, createMemberProof } from './node/secret.js';
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,7 +1,8 @@
 #!/usr/bin/env node
 /**
- * `cassiamastd --settings FILE`: runs one process, an entry or a sidecar, until it is told to stop.
- * SIGTERM and SIGINT shut it down gracefully: no new work, running answers end, then it exits.
+ * Command line program `cassiamastd --settings FILE`: runs one process, an entry or a sidecar.
+ * SIGTERM and SIGINT shut it down gracefully: it accepts no new work, lets running answers finish and
+ * exits.
  */
 import './memory-flags.js';
 import { parseArgs } from 'node:util';
--- a/packages/daemon/src/memory-flags.ts
+++ b/packages/daemon/src/memory-flags.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the heap of a daemon small, since its slot beside a target is: new objects live in a young
- * generation of 1 MB, which the collector empties more often. Imported before everything else, since
- * the flags count from then on.
+ * Keeps the heap of a daemon small, because it has little memory next to a target: limits the young
+ * generation to 1 MB, which is collected more often in exchange. Import this module before all
+ * others, because the flags apply only from the moment they are set.
  */
 import { setFlagsFromString } from 'node:v8';
 
--- a/packages/daemon/src/settings/failures.ts
+++ b/packages/daemon/src/settings/failures.ts
@@ -1,4 +1,4 @@
-/** Failures of reading a daemon's settings. */
+/** Defines the failures that reading the daemon's settings can return. */
 import { defineFailure } from '@cassiamast/coordination';
 
 /** The settings file can't be read or is not YAML. */
@@ -10,7 +10,7 @@
   hint: 'Check that the file exists, is readable by the daemon and is valid YAML.',
 });
 
-/** The settings are YAML but not what the daemon takes; every fault is listed. */
+/** The settings are valid YAML but don't match the schema; every fault is listed. */
 export const SETTINGS_INVALID = defineFailure({
   name: 'settings-invalid',
   title: 'The settings are not valid',
--- a/packages/daemon/src/settings/settings.ts
+++ b/packages/daemon/src/settings/settings.ts
@@ -1,25 +1,27 @@
 /**
- * The daemon's settings: who this process is, where it listens, and where the platform's services
- * are. Everything about services and targets comes from the operators' text instead. Secrets come
- * from a file or the environment and are never logged.
+ * Reads and validates the daemon's settings: the identity of the process, its listen addresses and
+ * the addresses of the platform's services. Services and targets are not set here but in the
+ * operators' configuration text. Secrets come from a file or the environment and are never logged.
  */
 import { readFile } from 'node:fs/promises';
 import type { Failure } from '@cassiamast/coordination';
 import { MemberKind } from '@cassiamast/coordination';
 import { err, ok, type Result } from 'neverthrow';
 import { parse } from 'yaml';
-// The third version of zod's interface, which the package still brings: a tenth of the memory of the
-// fourth, in a process that has 32 MB to itself.
+// Uses the v3 API, which the zod package still includes: it needs a tenth of the memory of the v4
+// API, and the process has 32 MB in total.
 import { z } from 'zod/v3';
 import { SETTINGS_INVALID, SETTINGS_UNREADABLE } from './failures.js';
 
-/** Environment variable that carries the members' shared secret when no file is named. */
+/**
+ * Environment variable with the members' shared secret, read when the settings name no secret file.
+ */
 export const SECRET_VARIABLE = 'CASSIAMAST_SECRET';
 
 const MAX_PORT = 65_535;
 const MIN_SECRET_CHARACTERS = 16;
 
-/** An object without unknown fields, so that a misspelt one is a fault. */
+/** Creates an object schema that rejects unknown fields, so that a misspelt field is reported. */
 function strict<Shape extends z.ZodRawShape>(shape: Shape): z.ZodObject<Shape, 'strict'> {
   return z.object(shape).strict();
 }
@@ -35,38 +37,45 @@
 const networks = z.array(z.string().regex(/^[0-9a-fA-F.:]+\/\d{1,3}$/, 'must be a CIDR network'));
 
 const commonFields = {
-  /** Where members reach this process, TCP and UDP; also its identity and its exclusive lock. */
+  /**
+   * Address where members reach this process over TCP and UDP. It is also the member id, and
+   * binding it ensures that only one process runs with this id.
+   */
   control: listenAddress,
-  /** Networks that may use the control port; all others are refused before a byte is read. */
+  /**
+   * Networks that may use the control port; other connections are rejected before any byte is read.
+   */
   controlNetworks: networks.default(['127.0.0.0/8']),
   failureDomain: z.string().min(1),
-  /** Any few members, to join through. */
+  /** Addresses of a few members, any of which the process can join through. */
   peers: z.array(hostPort).default([]),
   keyValue: strict({ endpoints: z.array(z.string().url()).min(1) }),
   vmList: strict({ url: z.string().url() }).optional(),
   weightStore: strict({ url: z.string().url() }).optional(),
-  /** File with the members' shared secret; else the environment variable CASSIAMAST_SECRET. */
+  /** File with the members' shared secret; by default it comes from CASSIAMAST_SECRET. */
   secretFile: z.string().optional(),
   logLevel: z.enum(['silent', 'error', 'warn', 'info', 'debug']).default('info'),
-  /** How long a process that stops still takes what is on its way to it. */
+  /** How long a stopping process still accepts work that is in transit to it. */
   noticeMs: z.number().int().min(0).max(60_000).default(3_000),
-  /** How many events the time line keeps. */
+  /** Number of events that the time line keeps. */
   timelineEvents: z.number().int().min(100).max(100_000).default(4_000),
 };
 
 const entrySettings = strict({
   kind: z.literal(MemberKind.Entry),
   ...commonFields,
-  /** Where callers connect. */
+  /** Address where callers connect. */
   callers: listenAddress,
-  /** The most callers' connections held open at once. */
+  /** Maximum number of open connections from callers. */
   maxCallerConnections: z.number().int().min(1).default(20_000),
 });
 
 const sidecarSettings = strict({
   kind: z.literal(MemberKind.Sidecar),
   ...commonFields,
-  /** Name of the target in the operators' text that this process stands beside. */
+  /**
+   * Name of the target that this process serves, as written in the operators' configuration text.
+   */
   target: z.string().min(1),
 });
 
@@ -79,13 +88,13 @@
 /** Settings of either kind. */
 export type Settings = EntrySettings | SidecarSettings;
 
-/** Settings together with the secret that members prove to each other. */
+/** Settings together with the shared secret with which members authenticate to each other. */
 export interface LoadedSettings {
   readonly settings: Settings;
   readonly secret: string;
 }
 
-/** Checks a parsed settings document; reports every fault at once. */
+/** Validates a parsed settings document; the failure lists every fault. */
 export function checkSettings(file: string, document: unknown): Result<Settings, Failure> {
   const parsed = settingsSchema.safeParse(document);
   if (parsed.success) return ok(parsed.data);
@@ -93,7 +102,10 @@
   return err(SETTINGS_INVALID.of({ file, faults }));
 }
 
-/** Reads settings and secret; `environment` is the process's own. */
+/**
+ * Reads the settings file and the secret; `environment` holds the environment variables of the
+ * process.
+ */
 export async function loadSettings(
   file: string,
   environment: Readonly<Record<string, string | undefined>>,
