--- a/packages/ports/src/http/transport.ts
+++ b/packages/ports/src/http/transport.ts
@@ -1,58 +1,62 @@
 /**
- * HTTP exchanges as the adapters need them: one buffered exchange, or one streamed answer with
- * back-pressure. Both say whether the request may have reached the other side, because a caller
- * that believes "it did not run" of a request that did would run it twice.
+ * HTTP transport for the clients of outside systems: requests with a buffered response, and
+ * requests with a streamed response and back-pressure. Every failure states whether the request may
+ * have reached the server. A caller retries a request that has not run, so a wrong "has not run"
+ * would run the request twice.
  */
 import type { Socket } from 'node:net';
 import type { Dispatcher } from 'undici';
 import { Agent, buildConnector } from 'undici';
 
-/** Connections to one origin that are kept open but idle, in milliseconds. */
+/** How long an idle connection stays open when the server announces no keep-alive timeout. */
 const KEEP_ALIVE_MS = 30_000;
-/** An idle connection is given up this long before the other side would close it. */
+/** An idle connection is closed this long before the server would close it. */
 const KEEP_ALIVE_MARGIN_MS = 500;
 
-/** How an exchange failed. */
+/** Kinds of failed exchanges. */
 export enum TroubleKind {
-  /** No connection could be made. */
+  /** No connection could be established. */
   Unreachable = 'unreachable',
-  /** The connection broke before the answer was whole. */
+  /** The connection failed before the response was complete. */
   Broken = 'broken',
-  /** No whole answer within the time allowed. */
+  /** The response was not complete within the timeout. */
   TimedOut = 'timed-out',
-  /** The answer was larger than allowed. */
+  /** The response was larger than allowed. */
   TooLarge = 'too-large',
 }
 
-/** A failed exchange. `mayHaveRun` is false only when no byte of the request was sent. */
+/**
+ * A failed exchange. `mayHaveRun` is false only if no byte of the request was sent; otherwise the
+ * server may have run the request.
+ */
 export interface Trouble {
   readonly kind: TroubleKind;
   readonly mayHaveRun: boolean;
   readonly detail: string;
 }
 
-/** One request. */
+/** An HTTP request. */
 export interface HttpRequest {
   readonly origin: string;
   readonly method: Dispatcher.HttpMethod;
   readonly path: string;
-  /** By name, or names and values in turn where their order and repeats matter. */
+  /** A map by name, or alternating names and values where order and repeated names matter. */
   readonly headers: Readonly<Record<string, string>> | readonly string[];
   readonly body: string | Buffer | null;
 }
 
-/** One whole answer. Header names are lower case. */
+/** A complete, buffered response. Header names are lower case. */
 export interface HttpAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Buffer;
 }
 
-/** What a streamed answer brings; exactly one of `onEnd` and `onTrouble` is called, once, last. */
+/** Callbacks for a streamed response. The last call is either `onEnd` or `onTrouble`, once. */
 export interface HttpStreamHandlers {
-  /** The first byte is about to leave; before that nothing can have reached the other side. */
+  /** The first byte is about to be sent; before this call nothing can have reached the server. */
   readonly onSent?: () => void;
-  /** Header names of `headers` are lower case; `rawHeaders` has names and values in turn, as sent. */
+  /** `headers` has lower-case names; `rawHeaders` alternates names and values as received. */
   readonly onStart: (
     status: number,
     headers: Readonly<Record<string, string>>,
@@ -63,98 +67,98 @@
   readonly onTrouble: (trouble: Trouble) => void;
 }
 
-/** A running streamed answer. After `stop` no handler is called. */
+/** Controls a streamed response. No handler is called after `stop`. */
 export interface HttpStream {
   readonly stop: () => void;
   readonly pause: () => void;
   readonly resume: () => void;
 }
 
-/** Connections shared by the calls of one adapter. */
+/** A connection pool that the calls of one client share. */
 export interface HttpTransport {
   readonly exchange: (
     request: HttpRequest,
     limits: { readonly timeoutMs: number; readonly maxAnswerBytes: number },
   ) => Promise<HttpAnswer | Trouble>;
   readonly stream: (request: HttpRequest, handlers: HttpStreamHandlers) => HttpStream;
-  /** Closes idle connections and fails running exchanges. */
+  /** Closes all connections; exchanges in flight fail. */
   readonly close: () => Promise<void>;
 }
 
-/** Tells a failed exchange from an answer. */
+/** Returns whether an exchange failed. */
 export function isTrouble(outcome: HttpAnswer | Trouble): outcome is Trouble {
   return 'kind' in outcome;
 }
 
 /** Options of {@link createHttpTransport}. */
 export interface HttpTransportOptions {
-  /** How long to wait for a connection, in milliseconds. */
+  /** Maximum time to establish a connection, in milliseconds. */
   readonly connectTimeoutMs: number;
-  /** Most connections to one origin at once; more requests wait in line. */
+  /** Maximum number of connections to one origin; further requests are queued. */
   readonly maxConnections: number;
-  /** How long an idle connection is kept where the other side does not say; 30 s if left out. */
+  /** Lifetime of an idle connection if the server announces none; 30 s by default. */
   readonly keepAliveMs?: number;
-  /** What is waited for before a new connection is used; null where nothing is. */
+  /** Returns a promise to wait for before a new connection is used, or null for no wait. */
   readonly beforeUse?: () => Promise<void> | null;
 }
 
-/** Makes a transport with its own connections. */
+/** Creates a transport with its own connection pool. */
 export function createHttpTransport(options: HttpTransportOptions): HttpTransport {
-  const resets = createResetWatch(options.beforeUse ?? (() => null));
+  const resetWatch = createResetWatch(options.beforeUse ?? (() => null));
   const agent = new Agent({
     connections: options.maxConnections,
-    connect: resets.watched(buildConnector({ timeout: options.connectTimeoutMs })),
+    connect: resetWatch.wrapConnector(buildConnector({ timeout: options.connectTimeoutMs })),
     keepAliveTimeout: options.keepAliveMs ?? KEEP_ALIVE_MS,
     keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
-    // Streams may be silent for long; each call bounds its own time instead.
+    // A stream can go without data for a long time, so each exchange sets its own timeout instead.
     headersTimeout: 0,
     bodyTimeout: 0,
   });
   return {
-    exchange: (request, limits) => exchange(agent, resets, request, limits),
+    exchange: (request, limits) => exchange(agent, resetWatch, request, limits),
     stream: (request, handlers) =>
-      dispatch(agent, resets, request, { onSent: () => undefined, ...handlers }),
+      dispatch(agent, resetWatch, request, { onSent: () => undefined, ...handlers }),
     close: () => agent.destroy(),
   };
 }
 
-/** Tells whether the end of an answer that is being handed over is a connection's reset. */
+/** Detects whether the end of a response that is being reported was a connection reset. */
 interface ResetWatch {
-  readonly watched: (connect: buildConnector.connector) => buildConnector.connector;
+  readonly wrapConnector: (connect: buildConnector.connector) => buildConnector.connector;
   readonly isResetting: () => boolean;
 }
 
 /**
- * Guards against an answer without a length that was cut: the library takes a reset for the end of
- * such an answer, and it shows as a caller who gets a part of a body as the whole. The socket's
- * error is heard here before the library hears it, and the library ends the answer while it does.
- * A reset that arrives together with the last bytes is reported as an ordinary end; only the
- * address of the other side, which a reset connection no longer has, tells it then.
+ * Prevents a truncated response without a content length from being reported as complete. undici
+ * treats a connection reset as the end of such a response, so a caller would receive part of a body
+ * as the whole. The socket's `error` listener registered here runs before undici's own, which ends
+ * the response synchronously. A reset that arrives together with the last bytes is reported as a
+ * regular `end`; a reset socket no longer has a remote address, which is how it is recognized then.
  */
 function createResetWatch(beforeUse: () => Promise<void> | null): ResetWatch {
   let resetting = false;
-  const noteReset = (): void => {
+  const markResetting = (): void => {
     resetting = true;
     queueMicrotask(() => {
       resetting = false;
     });
   };
   const watch = (socket: Socket): void => {
-    socket.once('error', noteReset);
+    socket.once('error', markResetting);
     socket.once('end', () => {
-      if (socket.remoteAddress === undefined) noteReset();
+      if (socket.remoteAddress === undefined) markResetting();
     });
   };
   return {
-    watched: (connect) => (options, callback) => {
+    wrapConnector: (connect) => (options, callback) => {
       connect(options, (...result) => {
         const [, socket] = result;
-        // Left out, against its type, where the connection failed.
+        // Contrary to its type, the socket is missing when the connection attempt failed.
         if (socket) watch(socket);
-        const waiting = socket ? beforeUse() : null;
-        if (waiting === null) callback(...result);
+        const ready = socket ? beforeUse() : null;
+        if (ready === null) callback(...result);
         else
-          void waiting.then(() => {
+          void ready.then(() => {
             callback(...result);
           });
       });
@@ -165,13 +169,13 @@
 
 function exchange(
   agent: Agent,
-  resets: ResetWatch,
+  resetWatch: ResetWatch,
   request: HttpRequest,
   limits: { readonly timeoutMs: number; readonly maxAnswerBytes: number },
 ): Promise<HttpAnswer | Trouble> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
-    let bytes = 0;
+    let receivedBytes = 0;
     let status = 0;
     let headers: Readonly<Record<string, string>> = {};
     let sent = false;
@@ -180,31 +184,32 @@
       clearTimeout(timer);
       resolve(outcome);
     };
-    const giveUp = (kind: TroubleKind, detail: string): void => {
+    const abort = (kind: TroubleKind, detail: string): void => {
       finish({ kind, mayHaveRun: sent, detail });
       running.stop();
     };
     let isOver = false;
-    // Guards against taking an own standstill for the other side's: a process that had no processor
-    // runs its late timers before it reads what has come in. It shows as calls that time out by the
-    // dozen at the height of a burst, though their answers lie there.
+    // After an event loop stall, late timers run before pending input is read. Failing directly in
+    // the timer would time out dozens of calls at the peak of a burst although their responses have
+    // already arrived, so the check is deferred until pending input has been read.
     const timer = setTimeout(() => {
       setImmediate(() => {
         if (isOver) return;
-        giveUp(TroubleKind.TimedOut, `no whole answer within ${String(limits.timeoutMs)} ms`);
+        abort(TroubleKind.TimedOut, `no whole answer within ${String(limits.timeoutMs)} ms`);
       });
     }, limits.timeoutMs);
-    const running = dispatch(agent, resets, request, {
+    const running = dispatch(agent, resetWatch, request, {
       onSent: () => {
         sent = true;
       },
-      onStart: (code, received) => {
-        status = code;
-        headers = received;
+      onStart: (receivedStatus, receivedHeaders) => {
+        status = receivedStatus;
+        headers = receivedHeaders;
       },
       onData: (chunk) => {
-        bytes += chunk.length;
-        if (bytes > limits.maxAnswerBytes) giveUp(TroubleKind.TooLarge, `over ${String(bytes)} B`);
+        receivedBytes += chunk.length;
+        if (receivedBytes > limits.maxAnswerBytes)
+          abort(TroubleKind.TooLarge, `over ${String(receivedBytes)} B`);
         else chunks.push(chunk);
       },
       onEnd: () => {
@@ -225,7 +230,7 @@
 
 function dispatch(
   agent: Agent,
-  resets: ResetWatch,
+  resetWatch: ResetWatch,
   request: HttpRequest,
   handlers: DispatchHandlers,
 ): HttpStream {
@@ -235,7 +240,7 @@
   const fail = (error: Error): void => {
     if (stopped) return;
     stopped = true;
-    // The library calls onRequestStart before it writes; without it no byte has left.
+    // undici calls onRequestStart before it writes; without that call no byte has been sent.
     const mayHaveRun = controller !== null;
     const kind = mayHaveRun ? TroubleKind.Broken : TroubleKind.Unreachable;
     handlers.onTrouble({ kind, mayHaveRun, detail: error.message });
@@ -257,13 +262,13 @@
       onResponseStart: (started, status, headers) => {
         if (stopped) return;
         if (paused) started.pause();
-        handlers.onStart(status, plainHeaders(headers), rawHeadersOf(started));
+        handlers.onStart(status, joinHeaderValues(headers), rawHeadersOf(started));
       },
       onResponseData: (_started, chunk) => {
         if (!stopped) handlers.onData(chunk);
       },
       onResponseEnd: () => {
-        if (resets.isResetting()) {
+        if (resetWatch.isResetting()) {
           fail(new Error('the connection was reset before the answer was whole'));
           return;
         }
@@ -295,13 +300,13 @@
 
 function rawHeadersOf(controller: Dispatcher.DispatchController): readonly string[] {
   const raw = controller.rawHeaders;
-  return Array.isArray(raw) ? raw.map((each) => each.toString('latin1')) : [];
+  return Array.isArray(raw) ? raw.map((header) => header.toString('latin1')) : [];
 }
 
-function plainHeaders(headers: Record<string, string | string[] | undefined>) {
-  const plain: Record<string, string> = {};
+function joinHeaderValues(headers: Record<string, string | string[] | undefined>) {
+  const joined: Record<string, string> = {};
   for (const [name, value] of Object.entries(headers)) {
-    if (value !== undefined) plain[name] = Array.isArray(value) ? value.join(', ') : value;
+    if (value !== undefined) joined[name] = Array.isArray(value) ? value.join(', ') : value;
   }
-  return plain;
+  return joined;
 }
--- a/packages/ports/test/http/transport.test.ts
+++ b/packages/ports/test/http/transport.test.ts
@@ -1,4 +1,7 @@
-/** Whether a request may have run, against servers that misbehave at each point. */
+/**
+ * Tests the HTTP transport against servers that fail at each stage of an exchange, in particular
+ * whether it reports correctly that a request may have run.
+ */
 import assert from 'node:assert/strict';
 import { spawn } from 'node:child_process';
 import { once } from 'node:events';
@@ -41,7 +44,7 @@
     body: 'work',
     ...change,
   });
-  const answering = (text: string) => (socket: Socket) => {
+  const respondWith = (text: string) => (socket: Socket) => {
     socket.on('data', () => socket.write(text));
   };
   const trouble = async (timeoutMs = LIMITS.timeoutMs) => {
@@ -50,18 +53,18 @@
     return [outcome.kind, outcome.mayHaveRun];
   };
 
-  // At the height of a burst a process has no processor for a while. Its timers are late, and those
-  // of its calls went off before the answers were read that had long come in: the other side was
-  // taken for dead, by dozens of calls at once.
-  describe('a process that stood still', () => {
-    const whole = 'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok';
-    const STANDSTILL_MS = 300;
+  // Calls must not time out because of an event loop stall in their own process. At the peak of a
+  // burst the process gets no CPU time, and its late timers fire before it reads responses that have
+  // already arrived. Dozens of calls at once would then report a live server as timed out.
+  describe('during an event loop stall', () => {
+    const completeResponse = 'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok';
+    const STALL_MS = 300;
 
-    /** Another process answers, since this one stands still. */
+    /** Starts a server in a child process, because the event loop of this process stalls. */
     async function startServer(): Promise<{ readonly port: number; readonly end: () => void }> {
       const program = `require('node:net').createServer((socket) => {
         socket.on('error', () => undefined);
-        socket.on('data', () => socket.write(${JSON.stringify(whole)}));
+        socket.on('data', () => socket.write(${JSON.stringify(completeResponse)}));
       }).listen(0, '127.0.0.1', function () { console.log(this.address().port); });`;
       const child = spawn(process.execPath, ['-e', program], {
         stdio: ['ignore', 'pipe', 'inherit'],
@@ -70,37 +73,37 @@
       return { port: Number(port.toString()), end: () => void child.kill('SIGKILL') };
     }
 
-    it('takes an answer that came meanwhile', async () => {
+    it('accepts a response that arrived in the meantime', async () => {
       const { port, end } = await startServer();
-      const asked = { ...request(), origin: `http://127.0.0.1:${String(port)}` };
-      await transport.exchange(asked, LIMITS);
-      const answer = transport.exchange(asked, { ...LIMITS, timeoutMs: STANDSTILL_MS / 3 });
+      const childRequest = { ...request(), origin: `http://127.0.0.1:${String(port)}` };
+      await transport.exchange(childRequest, LIMITS);
+      const answer = transport.exchange(childRequest, { ...LIMITS, timeoutMs: STALL_MS / 3 });
       await new Promise(setImmediate);
-      Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, STANDSTILL_MS);
+      Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, STALL_MS);
       const outcome = await answer;
       end();
       assert.ok(!isTrouble(outcome));
     });
   });
 
-  describe('an answer without a length', () => {
-    const head = 'HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n';
+  describe('a response without a content length', () => {
+    const responseHead = 'HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n';
 
-    it('is whole when its connection ends', async () => {
-      onSocket = (socket) => socket.once('data', () => socket.end(`${head}all of it`));
+    it('is complete when its connection ends', async () => {
+      onSocket = (socket) => socket.once('data', () => socket.end(`${responseHead}all of it`));
       const outcome = await transport.exchange(request(), LIMITS);
       assert.ok(!isTrouble(outcome));
       assert.equal(outcome.body.toString(), 'all of it');
     });
 
-    // A caller gets the first half of a report as if it were the whole of it. A target crashes in
-    // the middle of an answer that has no length; its connection is reset. The client library takes
-    // that for the end of the answer, as it does for a connection that ends in order.
-    it('is broken when its connection is reset after its bytes came', async () => {
+    // A caller must not receive half of a response as the whole. When a target crashes in the middle
+    // of a response without a content length, its connection is reset, and undici reports this like a
+    // regular end of the connection.
+    it('is reported as broken when its connection is reset after its bytes arrived', async () => {
       let server: Socket | null = null;
       onSocket = (socket) => {
         server = socket;
-        socket.once('data', () => socket.write(`${head}half`));
+        socket.once('data', () => socket.write(`${responseHead}half`));
       };
       const kind = await new Promise((resolve) => {
         transport.stream(request(), {
@@ -117,11 +120,11 @@
       assert.equal(kind, TroubleKind.Broken);
     });
 
-    // The same, but the reset arrives together with the bytes: the runtime then reports an end.
-    it('is broken when its connection is reset with its bytes', async () => {
+    // As above, but the reset arrives together with the bytes, and Node.js reports a regular end.
+    it('is reported as broken when the reset arrives together with its bytes', async () => {
       onSocket = (socket) => {
         socket.once('data', () => {
-          socket.write(`${head}half`, () => {
+          socket.write(`${responseHead}half`, () => {
             setImmediate(() => socket.resetAndDestroy());
           });
         });
@@ -131,8 +134,8 @@
   });
 
   describe('an exchange', () => {
-    it('brings status, headers and body', async () => {
-      onSocket = answering('HTTP/1.1 201 Created\r\nX-A: b\r\ncontent-length: 2\r\n\r\nok');
+    it('returns status, headers and body', async () => {
+      onSocket = respondWith('HTTP/1.1 201 Created\r\nX-A: b\r\ncontent-length: 2\r\n\r\nok');
       const outcome = await transport.exchange(request(), LIMITS);
       assert.ok(!isTrouble(outcome));
       assert.equal(outcome.status, 201);
@@ -140,34 +143,34 @@
       assert.equal(outcome.body.toString(), 'ok');
     });
 
-    it('without a connection did not run', async () => {
-      const gone = request();
+    it('has not run if no connection was established', async () => {
+      const unreachableRequest = request();
       server.close();
-      const outcome = await transport.exchange(gone, LIMITS);
+      const outcome = await transport.exchange(unreachableRequest, LIMITS);
       assert.ok(isTrouble(outcome));
       assert.deepEqual([outcome.kind, outcome.mayHaveRun], [TroubleKind.Unreachable, false]);
     });
 
-    it('whose connection breaks before the answer may have run', async () => {
+    it('may have run if its connection fails before the response', async () => {
       onSocket = (socket) => socket.on('data', () => socket.destroy());
       assert.deepEqual(await trouble(), [TroubleKind.Broken, true]);
     });
 
-    it('whose answer is cut may have run', async () => {
+    it('may have run if its response is truncated', async () => {
       onSocket = (socket) => {
         socket.on('data', () => socket.end('HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf'));
       };
       assert.deepEqual(await trouble(), [TroubleKind.Broken, true]);
     });
 
-    it('without an answer in time may have run', async () => {
+    it('may have run if there is no response within the timeout', async () => {
       onSocket = () => undefined;
       assert.deepEqual(await trouble(20), [TroubleKind.TimedOut, true]);
     });
 
-    it('that waits for a connection until its time is over is never sent', async () => {
-      // All connections to an engine are busy. A request waits in line and its time ends there;
-      // it is told as not run, so it must not be written when a connection is free again.
+    it('is never sent if it times out while waiting for a connection', async () => {
+      // All connections to an engine are busy, and a queued request times out. It is reported as not
+      // run, so it must not be sent when a connection becomes free.
       let received = '';
       onSocket = (socket) => {
         socket.on('data', (data) => {
@@ -186,15 +189,15 @@
       assert.doesNotMatch(received, /second/);
     });
 
-    it('with an answer that is too large is given up', async () => {
-      onSocket = answering(`HTTP/1.1 200 OK\r\ncontent-length: 2000\r\n\r\n${'x'.repeat(2_000)}`);
+    it('is aborted if its response is too large', async () => {
+      onSocket = respondWith(`HTTP/1.1 200 OK\r\ncontent-length: 2000\r\n\r\n${'x'.repeat(2_000)}`);
       assert.deepEqual(await trouble(), [TroubleKind.TooLarge, true]);
     });
   });
 
   describe('a stream', () => {
-    it('calls no handler after it was stopped', async () => {
-      onSocket = answering('HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf');
+    it('calls no handler after it is stopped', async () => {
+      onSocket = respondWith('HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf');
       let calls = 0;
       const count = (): void => {
         calls += 1;
@@ -217,29 +220,29 @@
       assert.equal(calls, 0);
     });
 
-    it('that is paused holds the other side back, and brings all when resumed', async () => {
-      // A caller reads slowly. The bytes must wait on the far side, not in this process: the
-      // far side's writes stop being taken long before the whole answer is sent.
+    it('applies back-pressure to the server while paused, and delivers everything when resumed', async () => {
+      // For a slow caller, the bytes must be held at the server and not in this process: the
+      // server's writes must block long before the whole response is sent.
       const total = 64 * 1024 * 1024;
-      let blocked: () => void = () => undefined;
-      const held = new Promise<void>((resolve) => {
-        blocked = resolve;
+      let reportBlocked: () => void = () => undefined;
+      const writesBlocked = new Promise<void>((resolve) => {
+        reportBlocked = resolve;
       });
       onSocket = (socket) => {
         socket.once('data', () => {
           socket.write(`HTTP/1.1 200 OK\r\ncontent-length: ${String(total)}\r\n\r\n`);
           const block = Buffer.alloc(1024 * 1024);
           let sent = 0;
-          const more = (): void => {
+          const writeUntilBlocked = (): void => {
             while (sent < total) {
               sent += block.length;
               if (socket.write(block)) continue;
-              socket.once('drain', more);
-              blocked();
+              socket.once('drain', writeUntilBlocked);
+              reportBlocked();
               return;
             }
           };
-          more();
+          writeUntilBlocked();
         });
       };
       let received = 0;
@@ -247,7 +250,7 @@
         const stream = transport.stream(request(), {
           onStart: () => {
             stream.pause();
-            void held.then(() => {
+            void writesBlocked.then(() => {
               assert.ok(received < total / 2);
               stream.resume();
             });
