--- a/packages/ports/src/engine/client.ts
+++ b/packages/ports/src/engine/client.ts
@@ -1,6 +1,6 @@
 /**
- * The engine port over HTTP. Nothing is repeated here; a lost answer is read back by `state` or
- * taken up by `resumeStream`.
+ * HTTP client for the engine port. It never retries a call: after a lost response, the caller reads
+ * the engine's state with `state` or continues the answer with `resumeStream`.
  */
 import type { Failure } from '@cassiamast/coordination';
 import type { Result } from 'neverthrow';
@@ -17,7 +17,7 @@
 
 const DEFAULT_CALL_TIMEOUT_MS = 2_000;
 const DEFAULT_CONNECT_TIMEOUT_MS = 1_000;
-/** One connection a stream; above an engine's batch and its waiting line. */
+/** Each stream occupies one connection; exceeds an engine's batch and queue together. */
 const DEFAULT_MAX_CONNECTIONS = 1_024;
 const MAX_ANSWER_BYTES = 4 * 1024 * 1024;
 const JSON_HEADERS = { 'content-type': 'application/json' };
@@ -26,19 +26,19 @@
 export interface EngineClientOptions {
   /** Base address such as `http://10.0.0.7:8000`. */
   readonly address: string;
-  /** How long a call other than a stream may take, in milliseconds. */
+  /** Timeout of a call other than a stream, in milliseconds. */
   readonly callTimeoutMs?: number;
   readonly connectTimeoutMs?: number;
-  /** Most streams and calls at once. */
+  /** Maximum number of concurrent streams and calls. */
   readonly maxConnections?: number;
 }
 
-/** The port with the means to let go of its connections. */
+/** The engine port with a method that closes its connections. */
 export interface EngineClient extends EnginePort {
   readonly close: () => Promise<void>;
 }
 
-/** Makes a client of one engine. */
+/** Creates a client for one engine. */
 export function createEngineClient(options: EngineClientOptions): EngineClient {
   const { address } = options;
   const callTimeoutMs = options.callTimeoutMs ?? DEFAULT_CALL_TIMEOUT_MS;
@@ -60,33 +60,37 @@
   const call = (method: HttpRequest['method'], path: string, body?: JsonObject) =>
     new ResultAsync(exchange(request(method, path, body)));
 
-  async function exchange(sent: HttpRequest): Promise<Result<JsonObject, Failure>> {
-    const place = { call: `${sent.method} ${sent.path}`, address };
-    const outcome = await transport.exchange(sent, {
+  async function exchange(httpRequest: HttpRequest): Promise<Result<JsonObject, Failure>> {
+    const context = { call: `${httpRequest.method} ${httpRequest.path}`, address };
+    const outcome = await transport.exchange(httpRequest, {
       timeoutMs: callTimeoutMs,
       maxAnswerBytes: MAX_ANSWER_BYTES,
     });
-    if (isTrouble(outcome)) return err(troubleFailure(place, outcome));
+    if (isTrouble(outcome)) return err(troubleFailure(context, outcome));
     const text = outcome.body.toString('utf8');
-    if (outcome.status >= 300) return err(statusFailure(place, outcome.status, text));
+    if (outcome.status >= 300) return err(statusFailure(context, outcome.status, text));
     const body = parseJsonObject(text);
     if (body !== null) return ok(body);
     const detail = 'the body is not a JSON object';
-    return err(ENGINE_PROTOCOL.of({ ...place, mayHaveRun: true, detail }));
+    return err(ENGINE_PROTOCOL.of({ ...context, mayHaveRun: true, detail }));
   }
 
-  function readWith<T>(place: string, read: (body: JsonObject) => T | null) {
+  function parseWith<T>(callName: string, parse: (body: JsonObject) => T | null) {
     return (body: JsonObject): Result<T, Failure> => {
-      const value = read(body);
+      const value = parse(body);
       if (value !== null) return ok(value);
       const detail = 'the body has no agreed form';
-      return err(ENGINE_PROTOCOL.of({ call: place, address, mayHaveRun: true, detail }));
+      return err(ENGINE_PROTOCOL.of({ call: callName, address, mayHaveRun: true, detail }));
     };
   }
 
-  function open(sent: HttpRequest, streamId: string, handlers: EngineStreamHandlers): EngineStream {
-    const place = { call: `${sent.method} ${sent.path}`, address };
-    const stream = openEngineStream(transport, place, sent, handlers);
+  function open(
+    httpRequest: HttpRequest,
+    streamId: string,
+    handlers: EngineStreamHandlers,
+  ): EngineStream {
+    const context = { call: `${httpRequest.method} ${httpRequest.path}`, address };
+    const stream = openEngineStream(transport, context, httpRequest, handlers);
     return {
       cancel: () => {
         stream.stop();
@@ -107,13 +111,13 @@
       open(request('GET', `${streamPath(streamId)}?from=${String(fromIndex)}`), streamId, handlers),
     cancel,
     runningStreams: () => call('GET', '/v1/streams').map(wire.readStreamIds),
-    state: () => call('GET', '/state').andThen(readWith('GET /state', wire.readState)),
+    state: () => call('GET', '/state').andThen(parseWith('GET /state', wire.readState)),
     load: () => call('GET', '/load').map(wire.readLoad),
     cacheEvents: (afterSequence) =>
       call('GET', `/cache-events?after=${String(afterSequence)}`).map(wire.readCacheEvents),
     order: (order) =>
       call('POST', '/orders', wire.orderBody(order)).andThen(
-        readWith('POST /orders', wire.readState),
+        parseWith('POST /orders', wire.readState),
       ),
     exportKv: (streamId) =>
       call('POST', '/kv/export', { stream_id: streamId }).map((body) => asText(body.kv_handle)),
--- a/packages/ports/src/engine/failures.ts
+++ b/packages/ports/src/engine/failures.ts
@@ -1,10 +1,10 @@
 /**
- * Failures of a model engine. `mayHaveRun` is false only where the engine certainly did nothing for
- * the request, so that a refusal that says "not run" stays true.
+ * Failures of calls to a model engine. `mayHaveRun` is false only if the engine certainly did no
+ * work for the request, because a gateway may then report the request as not run.
  */
 import { defineFailure } from '@cassiamast/coordination';
 
-/** What each failure of a call says. */
+/** Data of every failed engine call. */
 export interface EngineCallData {
   readonly call: string;
   readonly address: string;
@@ -12,7 +12,7 @@
   readonly detail: string;
 }
 
-/** No connection: the engine never saw the call. */
+/** No connection could be established, so the engine did not receive the call. */
 export const ENGINE_UNREACHABLE = defineFailure({
   name: 'engine-unreachable',
   title: 'The engine cannot be reached',
@@ -20,7 +20,7 @@
   hint: 'Look whether the engine runs and whether the address of its target is right.',
 });
 
-/** The connection broke or the time ran out before the answer was whole. */
+/** The connection failed or the timeout expired before the response was complete. */
 export const ENGINE_ANSWER_LOST = defineFailure({
   name: 'engine-answer-lost',
   title: 'The engine gave no whole answer',
@@ -28,7 +28,7 @@
   hint: 'Read the state of the engine, or resume the stream, before the call is repeated.',
 });
 
-/** The engine is changing its role or loading and takes no work now. */
+/** The engine is changing its role or loading a model and accepts no work at the moment. */
 export const ENGINE_NOT_SERVING = defineFailure({
   name: 'engine-not-serving',
   title: 'The engine takes no work now',
@@ -37,7 +37,7 @@
   hint: 'Send the request to another engine, or again when the order in progress is done.',
 });
 
-/** The engine's waiting line is full. */
+/** The engine's queue is full. */
 export const ENGINE_OVERLOADED = defineFailure({
   name: 'engine-overloaded',
   title: 'The engine has too many requests waiting',
@@ -46,7 +46,10 @@
   hint: 'Send the request to another engine, or again later.',
 });
 
-/** The engine refused the call as wrong; it did nothing for it. */
+/**
+ * The engine rejected the call. `mayHaveRun` is false unless the status is 5xx, the error occurred
+ * within a stream, or the stream id was already in use.
+ */
 export const ENGINE_REFUSED = defineFailure({
   name: 'engine-refused',
   title: 'The engine refused the call',
@@ -55,7 +58,7 @@
   hint: 'Compare the request with the models and limits of the service.',
 });
 
-/** An order's fencing number is older than one that the engine has seen. */
+/** The order's fencing token is lower than one that the engine has already seen. */
 export const ENGINE_ORDER_FENCED = defineFailure({
   name: 'engine-order-fenced',
   title: 'The engine refused an order from an old holder of the planner lease',
@@ -71,7 +74,7 @@
   hint: 'Nothing to do: the planner that gave the order has been replaced.',
 });
 
-/** The engine knows no such stream: it ended long ago, or the engine restarted. */
+/** The engine does not know the stream: it ended long ago, or the engine has restarted. */
 export const ENGINE_STREAM_UNKNOWN = defineFailure({
   name: 'engine-stream-unknown',
   title: 'The engine does not know the stream',
@@ -80,7 +83,7 @@
   hint: 'Continue the answer with a new request that carries the tokens received so far.',
 });
 
-/** The engine gave up a running request for lack of cache memory. */
+/** The engine aborted a running request because its KV cache ran out of memory. */
 export const ENGINE_OUT_OF_CACHE_MEMORY = defineFailure({
   name: 'engine-out-of-cache-memory',
   title: 'The engine ran out of cache memory in the middle of an answer',
@@ -88,7 +91,7 @@
   hint: 'Continue the answer on another engine with the tokens received so far.',
 });
 
-/** KV cache could not be exported or imported whole. */
+/** The KV cache could not be exported or imported completely. */
 export const ENGINE_KV_TRANSFER_FAILED = defineFailure({
   name: 'engine-kv-transfer-failed',
   title: 'KV cache could not be moved',
@@ -96,7 +99,7 @@
   hint: 'Let the receiving engine compute the prefix itself.',
 });
 
-/** The engine's answer was not what the protocol says. */
+/** The engine's response does not follow the protocol. */
 export const ENGINE_PROTOCOL = defineFailure({
   name: 'engine-protocol',
   title: 'The engine answered in a form that is not understood',
--- a/packages/ports/src/engine/port.ts
+++ b/packages/ports/src/engine/port.ts
@@ -1,44 +1,44 @@
 /**
- * A model engine as its own sidecar sees it. Orders, streams, cache events and load reports; the
- * HTTP adapter beside this file speaks the OpenAI-compatible completions with a few extensions.
+ * Interface between a sidecar and its model engine: token streams, orders, cache events and load
+ * reports. The HTTP client in this folder uses OpenAI-compatible completions with a few extensions.
  */
 import type { EngineRole, Failure } from '@cassiamast/coordination';
 import type { ResultAsync } from 'neverthrow';
 
-/** Work for the engine. `streamId` names the stream for resume and cancel. */
+/** A generation request. `streamId` identifies the stream for resuming and cancelling. */
 export interface EngineRequest {
   readonly streamId: string;
   readonly model: string;
   readonly adapter: string | null;
   readonly prompt: string;
   readonly maxTokens: number;
-  /** Higher runs first. */
+  /** Requests with a higher priority run first. */
   readonly priority: number;
   readonly temperature: number;
-  /** Makes sampling repeatable, so that another engine goes on with the same tokens. */
+  /** Makes sampling reproducible, so that another engine can continue with the same tokens. */
   readonly seed: number;
-  /** Tokens that the caller already has: the engine goes on after them and does not repeat them. */
+  /** Tokens that the caller already has; the engine continues after them without repeating them. */
   readonly continueFrom: readonly string[];
-  /** Handle of KV cache that was exported by another engine, or null to prefill here. */
+  /** Handle of a KV cache that another engine exported, or null to run the prefill here. */
   readonly kvHandle: string | null;
-  /** Prefill only: compute and export the KV cache, generate nothing. */
+  /** Whether to compute and export the KV cache only, without generating tokens. */
   readonly prefillOnly: boolean;
 }
 
-/** What a stream brings. */
+/** Kinds of chunks of a stream. */
 export enum EngineChunkKind {
   Tokens = 'tokens',
   Finished = 'finished',
 }
 
-/** Why generation ended. */
+/** Reasons for the end of a generation. */
 export enum FinishReason {
   Stop = 'stop',
   Length = 'length',
   PrefillDone = 'prefill-done',
 }
 
-/** Part of an answer; `index` is the position of its first token in the whole answer. */
+/** A chunk of an answer; `index` is the position of its first token in the whole answer. */
 export type EngineChunk =
   | {
       readonly kind: EngineChunkKind.Tokens;
@@ -54,25 +54,25 @@
       readonly kvHandle: string | null;
     };
 
-/** A running stream. `pause` and `resume` carry back-pressure to the engine's connection. */
+/** Controls a stream. `pause` and `resume` apply back-pressure to the engine's connection. */
 export interface EngineStream {
   readonly cancel: () => void;
   readonly pause: () => void;
   readonly resume: () => void;
 }
 
-/** How a stream reports. Exactly one of `onEnd` and `onFailure` is called, once, last. */
+/** Callbacks for a stream. The last call is either `onEnd` or `onFailure`, once. */
 export interface EngineStreamHandlers {
   readonly onChunk: (chunk: EngineChunk) => void;
   readonly onEnd: () => void;
   readonly onFailure: (failure: Failure) => void;
 }
 
-/** Load as reported, already old when it arrives. */
+/** The load that an engine reports. It is already out of date when it arrives. */
 export interface EngineLoad {
-  /** The engine's own count of reports since its start; a lower one means it restarted. */
+  /** Number of reports since the engine's start; a lower number means that it has restarted. */
   readonly sequence: number;
-  /** Changes when the engine restarts. */
+  /** Identifies the run of the engine process; changes with each restart. */
   readonly epoch: string;
   readonly runningRequests: number;
   readonly waitingRequests: number;
@@ -83,14 +83,17 @@
   readonly stepMs: number;
 }
 
-/** What an order asks for. */
+/** Kinds of orders. */
 export enum OrderKind {
   SetRole = 'set-role',
   LoadModel = 'load-model',
   UnloadModel = 'unload-model',
 }
 
-/** An order as the engine takes it. `fence` is refused by engines that check when it is old. */
+/**
+ * An order: a command that changes the state of an engine. `fence` is the fencing token of the
+ * planner lease; engines that check it reject an outdated one.
+ */
 export interface EngineOrder {
   readonly orderId: string;
   readonly fence: number;
@@ -101,11 +104,11 @@
   readonly adapter?: string | null;
 }
 
-/** What the engine is and does, read back before an order is repeated. */
+/** The state of an engine. Callers read it before they repeat an order. */
 export interface EngineState {
   readonly epoch: string;
   readonly role: EngineRole;
-  /** The order being carried out, or null. */
+  /** Id of the order that is being executed, or null. */
   readonly orderInProgress: string | null;
   readonly lastOrderDone: string | null;
   readonly highestFence: number;
@@ -116,26 +119,28 @@
   }[];
 }
 
-/** What happened to a cached prefix block. */
+/** Kinds of changes of cached prefix blocks. */
 export enum CacheEventKind {
   Stored = 'stored',
   Evicted = 'evicted',
   Cleared = 'cleared',
 }
 
-/** One cache event; a hole in `sequence` means that events were lost. */
+/** A change of the prefix cache. A gap in `sequence` means that events were lost. */
 export interface CacheEvent {
   readonly epoch: string;
   readonly sequence: number;
   readonly kind: CacheEventKind;
-  /** Fingerprints of the prefix blocks concerned. */
+  /** Fingerprints of the affected prefix blocks. */
   readonly blocks: readonly string[];
 }
 
-/** Calls to one engine. */
+/** Calls to one engine. None of them is retried by the port. */
 export interface EnginePort {
   readonly generate: (request: EngineRequest, handlers: EngineStreamHandlers) => EngineStream;
-  /** Takes up a stream that runs on although its connection broke, from token `fromIndex`. */
+  /**
+   * Resumes a stream whose connection failed while the engine continued, from token `fromIndex`.
+   */
   readonly resumeStream: (
     streamId: string,
     fromIndex: number,
@@ -143,8 +148,8 @@
   ) => EngineStream;
   readonly cancel: (streamId: string) => ResultAsync<null, Failure>;
   /**
-   * Ids of the streams that have not ended, as of now and not as of the last load report: what a
-   * sidecar that was restarted has inherited.
+   * Returns the ids of the streams that are running now, rather than at the time of the last load
+   * report. A restarted sidecar uses it to find the streams of its previous process.
    */
   readonly runningStreams: () => ResultAsync<readonly string[], Failure>;
   readonly state: () => ResultAsync<EngineState, Failure>;
--- a/packages/ports/src/engine/stream.ts
+++ b/packages/ports/src/engine/stream.ts
@@ -1,26 +1,26 @@
 /**
- * One answer of an engine, read as server-sent events. Breaking the connection does not end the
- * answer on the engine: it goes on and can be taken up again, or cancelled by its id.
+ * Reads one answer of an engine as server-sent events. Closing the connection does not end the
+ * generation on the engine: the stream continues there and can be resumed or cancelled by its id.
  */
 import type { Failure } from '@cassiamast/coordination';
 import { createParser } from 'eventsource-parser';
 import { asObject, parseJsonObject } from '../http/json.js';
 import type { HttpRequest, HttpStream, HttpTransport } from '../http/transport.js';
-import type { CallPlace } from './errors.js';
+import type { CallContext } from './errors.js';
 import { errorFailure, statusFailure, troubleFailure } from './errors.js';
 import { ENGINE_ANSWER_LOST, ENGINE_PROTOCOL } from './failures.js';
 import type { EngineStreamHandlers } from './port.js';
 import { readChunk } from './wire.js';
 
-const DONE = '[DONE]';
+const DONE_EVENT_DATA = '[DONE]';
 
-/** Error bodies are short; more than this is not read. */
+/** Error bodies are short; once this many characters are collected, the rest is ignored. */
 const MAX_ERROR_CHARS = 16_384;
 
-/** Opens a stream. `HttpStream.stop` lets go of the connection and calls no further handler. */
+/** Opens a stream. `HttpStream.stop` closes the connection; no handler is called after it. */
 export function openEngineStream(
   transport: HttpTransport,
-  place: CallPlace,
+  context: CallContext,
   request: HttpRequest,
   handlers: EngineStreamHandlers,
 ): HttpStream {
@@ -28,8 +28,8 @@
   let status = 0;
   let errorText = '';
   let done = false;
-  // After its last event the answer is left to end by itself: breaking it off would cost the
-  // connection, and a new one for each request.
+  // After its last event the response is left to end by itself. Aborting it would close the
+  // connection, so that each request would need a new one.
   const finish = (report: () => void): void => {
     if (done) return;
     done = true;
@@ -40,18 +40,18 @@
       handlers.onFailure(failure);
     });
   };
-  const broken = (detail: string) => ({ ...place, mayHaveRun: true, detail });
+  const failureData = (detail: string) => ({ ...context, mayHaveRun: true, detail });
   const parser = createParser({
     onEvent: (event) => {
       if (done) return;
-      if (event.data === DONE) {
+      if (event.data === DONE_EVENT_DATA) {
         finish(handlers.onEnd);
         return;
       }
       const body = parseJsonObject(event.data);
       const error = asObject(body?.error);
       if (error !== null) {
-        fail(errorFailure(place, status, error, true));
+        fail(errorFailure(context, status, error, true));
         return;
       }
       const chunk = body === null ? null : readChunk(body);
@@ -60,12 +60,12 @@
         return;
       }
       stream.stop();
-      fail(ENGINE_PROTOCOL.of(broken('an event has no agreed form')));
+      fail(ENGINE_PROTOCOL.of(failureData('an event has no agreed form')));
     },
   });
   const stream = transport.stream(request, {
-    onStart: (code) => {
-      status = code;
+    onStart: (receivedStatus) => {
+      status = receivedStatus;
     },
     onData: (bytes) => {
       const text = decoder.decode(bytes, { stream: true });
@@ -73,11 +73,11 @@
       else if (errorText.length < MAX_ERROR_CHARS) errorText += text;
     },
     onEnd: () => {
-      if (status !== 200) fail(statusFailure(place, status, errorText));
-      else fail(ENGINE_ANSWER_LOST.of(broken('the stream ended before its last event')));
+      if (status !== 200) fail(statusFailure(context, status, errorText));
+      else fail(ENGINE_ANSWER_LOST.of(failureData('the stream ended before its last event')));
     },
     onTrouble: (trouble) => {
-      fail(troubleFailure(place, trouble));
+      fail(troubleFailure(context, trouble));
     },
   });
   return {
--- a/packages/ports/src/engine/wire.ts
+++ b/packages/ports/src/engine/wire.ts
@@ -1,6 +1,6 @@
 /**
- * The engine's JSON: OpenAI's completions with extension fields in snake case. See
- * docs/design/outside-systems.md for each field.
+ * Converts between the engine port's types and the engine's JSON: OpenAI completions with extension
+ * fields in snake case. docs/design/outside-systems.md describes each field.
  */
 import { EngineRole } from '@cassiamast/coordination';
 import type { JsonObject } from '../http/json.js';
@@ -15,7 +15,7 @@
 } from './port.js';
 import { CacheEventKind, EngineChunkKind, FinishReason } from './port.js';
 
-/** The body of `POST /v1/completions`. */
+/** Builds the body of `POST /v1/completions`. */
 export function completionBody(request: EngineRequest): JsonObject {
   return {
     model: request.model,
@@ -33,7 +33,7 @@
   };
 }
 
-/** One event of a stream; null when it has no agreed form. */
+/** Parses one event of a stream; returns null if it does not follow the protocol. */
 export function readChunk(body: JsonObject): EngineChunk | null {
   const choice = asObject(asList(body.choices)[0]);
   if (choice === null) return null;
@@ -54,12 +54,12 @@
   };
 }
 
-/** The answer of `GET /v1/streams`. */
+/** Parses the response of `GET /v1/streams`. */
 export function readStreamIds(body: JsonObject): readonly string[] {
   return asList(body.running).map((id) => asText(id));
 }
 
-/** The answer of `GET /load`. */
+/** Parses the response of `GET /load`. */
 export function readLoad(body: JsonObject): EngineLoad {
   return {
     sequence: asNumber(body.sequence),
@@ -74,7 +74,10 @@
   };
 }
 
-/** The answer of `GET /state` and `POST /orders`; null when it has no agreed form. */
+/**
+ * Parses the response of `GET /state` and `POST /orders`; returns null if it does not follow the
+ * protocol.
+ */
 export function readState(body: JsonObject): EngineState | null {
   const role = asMember(EngineRole, body.role);
   if (role === null) return null;
@@ -95,7 +98,7 @@
   };
 }
 
-/** The body of `POST /orders`. */
+/** Builds the body of `POST /orders`. */
 export function orderBody(order: EngineOrder): JsonObject {
   return {
     order_id: order.orderId,
@@ -108,7 +111,7 @@
   };
 }
 
-/** The answer of `GET /cache-events`. Events of a kind not known here are left out. */
+/** Parses the response of `GET /cache-events`, without events of an unknown kind. */
 export function readCacheEvents(body: JsonObject): readonly CacheEvent[] {
   return asList(body.events).flatMap((item) => {
     const event = asObject(item);
