--- a/packages/ports/src/caller-wire/port.ts
+++ b/packages/ports/src/caller-wire/port.ts
@@ -1,82 +1,82 @@
 /**
- * What callers and targets say in headers and small bodies, as typed values. An adapter translates;
- * it decides nothing.
+ * Interface for the platform's HTTP headers and small bodies, exchanged with callers and targets.
+ * An implementation converts them to and from typed values and makes no decisions.
  */
 import type { PromptPart } from '@cassiamast/coordination';
 
-/** What a caller says of its request. */
+/** The parsed headers of a caller's request. */
 export interface RequestHead {
-  /** New with each attempt of a caller; null when it sent none. */
+  /** Differs for each attempt of a caller; null if the caller sent none. */
   readonly attemptId: string | null;
-  /** How long the caller waits; null when it does not say. */
+  /** How long the caller waits for the answer; null if the caller does not specify it. */
   readonly patienceMs: number | null;
-  /** The parts of its prompt in order; empty where there are none. */
+  /** The parts of the prompt in order; empty if there are none. */
   readonly parts: readonly PromptPart[];
-  /** Most tokens that the answer may have. */
+  /** Maximum number of tokens in the answer. */
   readonly outputTokens: number;
-  /** Where a stream goes on; null at its beginning. */
+  /** The last event that the caller has received; null to start at the beginning. */
   readonly lastEventId: string | null;
 }
 
-/** Prompt memory that another engine keeps. */
+/** Identifies the KV cache of a prompt that another engine keeps. */
 export interface PromptHandle {
-  /** `host:port` of the engine that keeps it. */
+  /** `host:port` of the engine that keeps the cache. */
   readonly address: string;
   readonly handle: string;
 }
 
-/** What a target is told beside the caller's own headers. */
+/** Instructions for a target, sent in addition to the caller's headers. */
 export interface Directions {
-  /** Name of the target that is meant; another one at the same address refuses. */
+  /** Name of the addressed target; another target at the same address rejects the request. */
   readonly targetName: string;
-  /** How long the caller still waits. */
+  /** Remaining time until the caller stops waiting. */
   readonly patienceMs: number;
-  /** Only read the prompt, and keep it for another engine. */
+  /** Whether to run the prefill only and keep the KV cache for another engine. */
   readonly readOnly: boolean;
-  /** Go on from a prompt that was read elsewhere. */
+  /** The KV cache of a prefill on another engine to decode from; null if there is none. */
   readonly from: PromptHandle | null;
-  /** `host:port` of an engine that hands over the parts that this one lacks. */
+  /** `host:port` of an engine from which to fetch missing prompt parts; null if there is none. */
   readonly fetchFrom: string | null;
-  /** Go on after this event of the stream. */
+  /** The event of the stream to continue after; null to start at the beginning. */
   readonly lastEventId: string | null;
 }
 
-/** What a target says of its answer. */
+/** The status and the parsed headers of a target's response. */
 export interface AnswerHead {
   readonly status: number;
-  /** The attempt that it answers; null when it does not say. */
+  /** The attempt that the response belongs to; null if the target does not state it. */
   readonly attemptId: string | null;
-  /** It vouches that the request did not run there. */
+  /** Whether the target guarantees that the request has not run there. */
   readonly notRun: boolean;
-  /** Whether the body was encoded on the way, so that it is not the target's own. */
+  /** Whether the body was encoded in transit and differs from the one that the target sent. */
   readonly encoded: boolean;
-  /** Requests a second that the target takes from all gateways together; null where it names none. */
+  /** Requests per second the target accepts from all gateways together; null if not announced. */
   readonly limitPerS: number | null;
-  /** Names of headers that the adapter does not know, in lower case. */
+  /** Lower-case names of headers that the implementation does not know. */
   readonly unknownHeaders: readonly string[];
 }
 
-/** An answer of the gateway's own. */
+/** A response that the gateway generates itself. */
 export interface OwnAnswer {
   readonly status: number;
-  /** Text of the body. */
+  /** The response body. */
   readonly reason: string;
-  /** When to come back, null where that does not help. */
+  /** When the caller should retry; null if a retry is not useful. */
   readonly retryAfterMs: number | null;
 }
 
-/** Translates between headers and values. Header lists have names and values in turn. */
+/** Converts between HTTP and typed values. Header lists alternate names and values. */
 export interface CallerWire {
   readonly readinessPath: string;
   readonly readRequest: (headers: Readonly<Record<string, unknown>>) => RequestHead;
-  /** The headers for a target: the caller's, less those of one connection, and the directions. */
+  /** Returns the caller's headers without hop-by-hop headers, plus the instructions. */
   readonly targetHeaders: (rawHeaders: readonly string[], directions: Directions) => string[];
   readonly readAnswer: (status: number, headers: Readonly<Record<string, string>>) => AnswerHead;
-  /** The headers for the caller: the target's, less those of one connection. */
+  /** Returns the target's headers without hop-by-hop headers. */
   readonly callerHeaders: (rawHeaders: readonly string[]) => string[];
   readonly ownHeaders: (answer: OwnAnswer) => Readonly<Record<string, string>>;
-  /** The handle in the answer to a request that was only read; null when it holds none. */
+  /** Returns the KV cache handle in the response to a prefill request; null if there is none. */
   readonly readHandle: (body: Buffer) => string | null;
-  /** Path of the DELETE that frees a handle. */
+  /** Returns the path for the DELETE request that releases a handle. */
   readonly handlePath: (handle: string) => string;
 }
--- a/packages/ports/src/engine-control/failures.ts
+++ b/packages/ports/src/engine-control/failures.ts
@@ -1,7 +1,7 @@
-/** Failures of calls to engines that register themselves. */
+/** Failures of control calls to engines that register themselves. */
 import { defineFailure } from '@cassiamast/coordination';
 
-/** The engine gave no usable answer. */
+/** The engine returned no usable response, or none at all. */
 export const ENGINE_CALL_FAILED = defineFailure({
   name: 'engine-call-failed',
   title: 'An engine gave no usable answer',
--- a/packages/ports/src/engine-control/port.ts
+++ b/packages/ports/src/engine-control/port.ts
@@ -1,54 +1,59 @@
 /**
- * Calls to engines that register themselves: reading where one stands and what its cache holds, and
- * having it change what it does for prompts. An order without an answer may have been accepted, or be carried out later.
+ * Interface for controlling engines that register themselves: reads an engine's phase and cache
+ * contents, and orders it to change its phase. An order without a response may have been accepted,
+ * and the engine may still execute it later.
  */
 import type { EnginePhase, Failure, PromptPart, TargetEntry } from '@cassiamast/coordination';
 import type { ResultAsync } from 'neverthrow';
 
-/** Where an engine stands. */
-export interface EngineStanding {
+/** The phase and the order status of an engine. */
+export interface EngineStatus {
   readonly phase: EnginePhase | null;
-  /** Whether it carries out an order. */
+  /** Whether the engine is executing an order. */
   readonly busy: boolean;
-  /** Orders that it has accepted since its start. */
+  /** Number of orders that the engine has accepted since its start. */
   readonly ordersAccepted: number;
 }
 
-/** Who gives an order. */
+/** The holder of the planner lease that issues an order, and its fencing token. */
 export interface OrderAuthority {
   readonly holder: string;
-  /** Grows with each holder; some engines refuse a lower one than they have seen. */
+  /**
+   * Fencing token; increases with each holder. Some engines reject one lower than they have seen.
+   */
   readonly fence: number;
 }
 
-/** What an engine said to an order. */
+/** An engine's answer to an order. */
 export enum OrderAnswer {
-  /** It is being carried out. */
+  /** The engine is executing the order. */
   Accepted = 'accepted',
-  /** What was ordered already holds. */
+  /** The engine is already in the ordered state. */
   AlreadyHolds = 'already-holds',
-  /** Another order is in progress, or came in between. */
+  /** Another order is in progress, or was accepted in the meantime. */
   Conflict = 'conflict',
-  /** The engine has seen a higher fence. */
+  /** The engine has seen a higher fencing token. */
   Fenced = 'fenced',
-  /** Another start of the target has its address, or it does not know the order. */
+  /** Another incarnation of the target has this address, or the engine does not know the order. */
   Refused = 'refused',
 }
 
-/** What an engine named in its answer to a call. */
+/** A response of an engine: the call, its status and the announced request rate. */
 export interface AnsweredCall {
   readonly call: string;
   readonly status: number;
-  /** Requests a second that it takes from all gateways together; null where it names none. */
+  /**
+   * Requests per second that it accepts from all gateways together; null if it announces no limit.
+   */
   readonly limitPerS: number | null;
 }
 
-/** Calls to engines. None retries by itself. */
+/** Control calls to engines. None of them retries. */
 export interface EngineControlPort {
-  /** Calls `listener` with each answer; one listener at a time. */
+  /** Sets the listener for all responses. There is one listener at a time. */
   readonly onAnswer: (listener: (target: TargetEntry, answered: AnsweredCall) => void) => void;
-  readonly readStanding: (target: TargetEntry) => ResultAsync<EngineStanding, Failure>;
-  /** The parts in its cache. Slows the engine for a moment: not for regular use. */
+  readonly readStanding: (target: TargetEntry) => ResultAsync<EngineStatus, Failure>;
+  /** Returns the prompt parts in its cache. Slows the engine briefly; not for regular use. */
   readonly readCache: (target: TargetEntry) => ResultAsync<readonly PromptPart[], Failure>;
   readonly orderPhase: (
     target: TargetEntry,
--- a/packages/ports/src/fleet/failures.ts
+++ b/packages/ports/src/fleet/failures.ts
@@ -1,7 +1,7 @@
-/** Failures of the store that holds the fleet. */
+/** Failures of the fleet store. */
 import { defineFailure } from '@cassiamast/coordination';
 
-/** The changes after a revision are no longer to be had. */
+/** The store no longer has the event history after the requested revision. */
 export const FLEET_HISTORY_GONE = defineFailure({
   name: 'fleet-history-gone',
   title: 'The changes since the last reading are no longer kept',
--- a/packages/ports/src/fleet/port.ts
+++ b/packages/ports/src/fleet/port.ts
@@ -1,40 +1,41 @@
 /**
- * The store that holds the fleet: what operators want, which targets have registered and which
- * gateways live. Every call may fail, and a write whose answer is lost may have taken effect.
+ * Interface to the platform's fleet store, which holds the operators' configuration, the registered
+ * targets and the live gateways. Every call can fail, and a write whose response is lost may have
+ * taken effect.
  */
 import type { CrashNote, Failure, FleetChange, GatewayEntry } from '@cassiamast/coordination';
 import type { ResultAsync } from 'neverthrow';
 import type { LeaseStore } from '../key-value/port.js';
 
-/** An entry of the store that is not what should lie under its key: another program wrote it. */
+/** An entry whose value does not have the form that its key requires; another program wrote it. */
 export interface EntryFault {
   readonly key: string;
 }
 
-/** Changes up to a revision of the store. */
+/** Fleet changes up to a revision of the store. */
 export interface FleetReading {
   readonly changes: readonly FleetChange[];
   readonly faults: readonly EntryFault[];
   readonly revision: number;
 }
 
-/** Calls to the store. None retries by itself. */
+/** Calls to the fleet store. None of them retries. */
 export interface FleetPort extends LeaseStore {
-  /** Everything, as changes. */
+  /** Returns the whole fleet in the form of changes. */
   readonly list: () => ResultAsync<FleetReading, Failure>;
   /**
-   * The changes after a revision, as soon as there are any and at the latest after `waitMs`.
-   * Fails with FLEET_HISTORY_GONE when a listing is needed.
+   * Long poll: returns the changes after a revision as soon as there are any, at the latest after
+   * `waitMs`. Fails with FLEET_HISTORY_GONE if the store no longer has them; `list` is needed then.
    */
   readonly changesAfter: (revision: number, waitMs: number) => ResultAsync<FleetReading, Failure>;
-  /** Announces this gateway for as long as the lease lives. */
+  /** Registers this gateway until the lease expires. */
   readonly announce: (gateway: GatewayEntry, leaseId: string) => ResultAsync<null, Failure>;
-  /** Tells all gateways of crashes, for as long as the lease lives. */
+  /** Publishes crash notes to all gateways until the lease expires. */
   readonly recordCrashes: (
     crashes: readonly CrashNote[],
     leaseId: string,
   ) => ResultAsync<null, Failure>;
-  /** Takes back what was told of crashes. */
+  /** Deletes published crash notes. */
   readonly forgetCrashes: (crashes: readonly CrashNote[]) => ResultAsync<null, Failure>;
   readonly close: () => Promise<void>;
 }
