--- a/packages/ports/src/key-value/client.ts
+++ b/packages/ports/src/key-value/client.ts
@@ -1,7 +1,7 @@
 /**
- * The key-value port over the etcd v3 JSON gateway. No call is repeated here: only the caller knows
- * whether a second one does harm. A call that found no connection makes the next one try the next
- * endpoint.
+ * Client for the key-value port over the etcd v3 JSON gateway. It never retries a call, because
+ * only the caller knows whether a second one is safe. After a call fails to connect, the next call
+ * uses the next endpoint.
  */
 import type { Failure } from '@cassiamast/coordination';
 import type { Result } from 'neverthrow';
@@ -21,26 +21,26 @@
 import { startWatch } from './watch.js';
 import * as wire from './wire.js';
 
-/** Values hold up to a megabyte; base64 and a list of them need room above that. */
+/** A value has up to 1 MB; a list of base64-encoded values needs more. */
 const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
 const DEFAULT_CALL_TIMEOUT_MS = 1_500;
-/** A slow service answers within that; a silent connection is given up after it. */
+/** A slow service answers within this time; after it, an inactive connection is closed. */
 const LATE_CALL_TIMEOUT_MS = 6_000;
 const DEFAULT_MAX_CONNECTIONS = 16;
 const MS_PER_S = 1_000;
-const NOT_FOUND = 404;
+const NOT_FOUND_STATUS = 404;
 
 /** Options of {@link createKeyValueClient}. */
 export interface KeyValueClientOptions {
-  /** Base addresses such as `http://10.0.0.5:2379`, all of one service; at least one. */
+  /** Base addresses of one service, such as `http://10.0.0.5:2379`; at least one. */
   readonly endpoints: readonly string[];
-  /** How long one call may take, in milliseconds. */
+  /** Timeout of one call, in milliseconds. */
   readonly callTimeoutMs?: number;
-  /** Most connections to one endpoint; a waiting watch occupies one. */
+  /** Maximum number of connections to one endpoint; each open watch occupies one. */
   readonly maxConnections?: number;
 }
 
-/** The port with the means to let go of its connections. */
+/** The key-value port with a method that closes its connections. */
 export interface KeyValueClient extends KeyValuePort {
   readonly close: () => Promise<void>;
 }
@@ -51,17 +51,18 @@
   timeoutMs?: number,
 ) => ResultAsync<JsonObject, Failure>;
 
-/** Makes a client of the key-value service. */
+/** Creates a client for the key-value service. */
 export function createKeyValueClient(options: KeyValueClientOptions): KeyValueClient {
   const callTimeoutMs = options.callTimeoutMs ?? DEFAULT_CALL_TIMEOUT_MS;
   const transport = createHttpTransport({
     connectTimeoutMs: callTimeoutMs,
     maxConnections: options.maxConnections ?? DEFAULT_MAX_CONNECTIONS,
   });
-  let turn = 0;
-  const endpoint = (): string => options.endpoints[turn % options.endpoints.length] ?? '';
+  let endpointIndex = 0;
+  const currentEndpoint = (): string =>
+    options.endpoints[endpointIndex % options.endpoints.length] ?? '';
   const useNextEndpoint = (): void => {
-    turn += 1;
+    endpointIndex += 1;
   };
   const call: Call = (path, body, timeoutMs = callTimeoutMs) =>
     new ResultAsync(post(path, body, timeoutMs));
@@ -71,7 +72,7 @@
     body: JsonObject,
     timeoutMs: number,
   ): Promise<Result<JsonObject, Failure>> {
-    const origin = endpoint();
+    const origin = currentEndpoint();
     const outcome = await transport.exchange(jsonPost(origin, path, body), {
       timeoutMs,
       maxAnswerBytes: MAX_ANSWER_BYTES,
@@ -110,7 +111,8 @@
         current: wire.readTransactionEntries(answer),
       })),
     grantLease: (ttlMs) =>
-      // The protocol counts whole seconds: rounding up never promises more than was granted.
+      // The protocol uses whole seconds. Rounded up, the granted lease is never shorter than
+      // `ttlMs`.
       call('/v3/lease/grant', { TTL: String(Math.ceil(ttlMs / MS_PER_S)) }).map(readLease),
     keepLeaseAlive: (leaseId) =>
       call('/v3/lease/keepalive', { ID: leaseId }).andThen((answer) => {
@@ -126,7 +128,13 @@
           isNotFound(failure) ? KEY_VALUE_LEASE_GONE.of({ leaseId, mayHaveRun: false }) : failure,
         ),
     watch: (key, fromRevision, onChange, onEnd) =>
-      startWatch(transport, endpoint(), { key, fromRevision, onChange, onEnd, useNextEndpoint }),
+      startWatch(transport, currentEndpoint(), {
+        key,
+        fromRevision,
+        onChange,
+        onEnd,
+        useNextEndpoint,
+      }),
     close: () => transport.close(),
   };
 }
@@ -143,8 +151,8 @@
 
 function troubleFailure(call: string, endpoint: string, trouble: Trouble): Failure {
   const { mayHaveRun, detail } = trouble;
-  const kind = mayHaveRun ? KEY_VALUE_ANSWER_LOST : KEY_VALUE_UNREACHABLE;
-  return kind.of({ call, endpoint, mayHaveRun, detail });
+  const failureKind = mayHaveRun ? KEY_VALUE_ANSWER_LOST : KEY_VALUE_UNREACHABLE;
+  return failureKind.of({ call, endpoint, mayHaveRun, detail });
 }
 
 function readAnswer(
@@ -155,8 +163,8 @@
 ): Result<JsonObject, Failure> {
   const body = parseJsonObject(text);
   if (status !== 200) {
-    // A gateway may say "unavailable" of a write that its member still commits; a 4xx is checked
-    // before anything is written.
+    // The JSON gateway can answer "unavailable" for a write that its etcd member still commits. A
+    // 4xx results from a check before anything is written.
     const detail = asText(body?.message, 'no reason given');
     const data = { call, endpoint, status, detail, mayHaveRun: status >= 500 };
     return err(KEY_VALUE_REFUSED.of(data));
@@ -172,5 +180,5 @@
 
 function isNotFound(failure: Failure): boolean {
   if (!KEY_VALUE_REFUSED.is(failure)) return false;
-  return failure.data.status === NOT_FOUND;
+  return failure.data.status === NOT_FOUND_STATUS;
 }
--- a/packages/ports/src/key-value/failures.ts
+++ b/packages/ports/src/key-value/failures.ts
@@ -1,10 +1,10 @@
 /**
- * Failures of the key-value service. `mayHaveRun` tells a write that certainly did not take effect
- * from one that must be read back first.
+ * Failures of calls to the key-value service. `mayHaveRun` is false if a write certainly did not
+ * take effect, and true if the caller must read the key back before it retries.
  */
 import { defineFailure } from '@cassiamast/coordination';
 
-/** What each failure of a call says. */
+/** Data of every failed call. */
 export interface KeyValueCallData {
   readonly call: string;
   readonly endpoint: string;
@@ -12,7 +12,7 @@
   readonly detail: string;
 }
 
-/** No connection: the call did not take effect. */
+/** No connection could be established, so the call did not take effect. */
 export const KEY_VALUE_UNREACHABLE = defineFailure({
   name: 'key-value-unreachable',
   title: 'The key-value service cannot be reached',
@@ -20,7 +20,7 @@
   hint: 'Look whether the service runs and whether its endpoint in the settings is right.',
 });
 
-/** The answer was lost or late: a write may have taken effect. */
+/** The response was lost, late or too large; a write may have taken effect. */
 export const KEY_VALUE_ANSWER_LOST = defineFailure({
   name: 'key-value-answer-lost',
   title: 'The key-value service gave no whole answer',
@@ -28,7 +28,7 @@
   hint: 'Read the key back before the call is repeated.',
 });
 
-/** The service answered with an error. */
+/** The service returned an error status. */
 export const KEY_VALUE_REFUSED = defineFailure({
   name: 'key-value-refused',
   title: 'The key-value service refused the call',
@@ -37,7 +37,7 @@
   hint: 'A 503 passes by itself; anything else is for the people who run the service.',
 });
 
-/** The lease has lapsed or was revoked. */
+/** The lease has expired or was revoked. */
 export const KEY_VALUE_LEASE_GONE = defineFailure({
   name: 'key-value-lease-gone',
   title: 'The lease is gone',
@@ -46,7 +46,7 @@
   hint: 'Whatever it guarded belongs to somebody else now: stop acting on it.',
 });
 
-/** The answer was not what the protocol says. */
+/** The response does not follow the protocol. */
 export const KEY_VALUE_PROTOCOL = defineFailure({
   name: 'key-value-protocol',
   title: 'The key-value service answered in a form that is not understood',
@@ -54,7 +54,7 @@
   hint: 'Check that the endpoint serves the etcd v3 JSON gateway under /v3.',
 });
 
-/** A watch ended; the watcher starts another from the revision it has seen. */
+/** A watch ended; the caller starts another from the last revision that it has seen. */
 export const KEY_VALUE_WATCH_ENDED = defineFailure({
   name: 'key-value-watch-ended',
   title: 'A watch ended',
--- a/packages/ports/src/key-value/port.ts
+++ b/packages/ports/src/key-value/port.ts
@@ -1,68 +1,69 @@
 /**
- * The platform's key-value service as the product uses it: compare-and-swap, leases and watches.
- * The service has outages, and an answer can be lost after the write took effect; so every call may
- * fail with an uncertain outcome, and callers read back before they try again.
+ * Interface to the platform's key-value service: compare-and-swap, leases and watches. The service
+ * has outages, and a response can be lost after the write took effect. Every call can therefore
+ * fail with an unknown outcome, and callers read the key back before they retry.
  */
 import type { Failure } from '@cassiamast/coordination';
 import type { ResultAsync } from 'neverthrow';
 
-/** A value with the revision of its last change, which only grows over the whole service. */
+/** A stored value. Revisions increase monotonically across the whole service. */
 export interface KeyValueEntry {
   readonly key: string;
   readonly value: string;
-  /** Revision at which the key came into being; a fencing number for locks. */
+  /** Revision at which the key was created; serves as the fencing token of a lock. */
   readonly createRevision: number;
-  /** Revision of the key's last change; what a compare-and-swap compares. */
+  /** Revision of the key's last change; used for compare-and-swap. */
   readonly modRevision: number;
 }
 
-/** A condition on one key: its `modRevision` must equal this; 0 means that it must not exist. */
+/** A condition that a key has this `modRevision`; 0 means that the key must not exist. */
 export interface KeyValueCompare {
   readonly key: string;
   readonly modRevision: number;
 }
 
-/** A write of one key, or its removal when the value is null. */
+/** A write of one key, or its deletion if the value is null. */
 export interface KeyValueWrite {
   readonly key: string;
   readonly value: string | null;
-  /** The lease that removes the key when it lapses. */
+  /** The lease whose expiry deletes the key. */
   readonly leaseId?: string;
 }
 
-/** What a transaction did. */
+/** The outcome of a transaction. */
 export interface TransactionResult {
-  /** Whether all comparisons held and the writes took effect. */
+  /** Whether all conditions were met and the writes took effect. */
   readonly succeeded: boolean;
   /** Revision of the service after the transaction. */
   readonly revision: number;
-  /** Current entries of the compared keys, where the comparisons failed. */
+  /** Current entries of the compared keys if a condition was not met. */
   readonly current: readonly KeyValueEntry[];
 }
 
-/** A lease: keys bound to it vanish when it is not kept alive for `ttlMs`. */
+/** A lease. Keys attached to it are deleted if it is not kept alive for `ttlMs`. */
 export interface KeyValueLease {
   readonly leaseId: string;
   readonly ttlMs: number;
 }
 
-/** One change seen by a watch; `entry` is null when the key was removed. */
+/** A change reported by a watch; `entry` is null if the key was deleted. */
 export interface KeyValueChange {
   readonly key: string;
   readonly entry: KeyValueEntry | null;
   readonly revision: number;
 }
 
-/** Ends a running watch. */
+/** Stops a running watch. */
 export type StopWatch = () => void;
 
-/** Calls to the service. None retries by itself. */
+/** Calls to the key-value service. None of them retries. */
 export interface KeyValuePort {
   readonly get: (key: string) => ResultAsync<KeyValueEntry | null, Failure>;
   readonly list: (prefix: string, limit: number) => ResultAsync<readonly KeyValueEntry[], Failure>;
   /**
-   * The same for readers to whom an answer is of use however late, up to some seconds. Not for
-   * whoever judges by it what holds now, such as a lease.
+   * Like `get` and `list`, with a timeout of several seconds, for callers to which a late answer is
+   * still useful. Not for decisions that depend on the current state, such as whether a lease is
+   * still held.
    */
   readonly getLate: KeyValuePort['get'];
   readonly listLate: KeyValuePort['list'];
@@ -73,7 +74,7 @@
   readonly grantLease: (ttlMs: number) => ResultAsync<KeyValueLease, Failure>;
   readonly keepLeaseAlive: (leaseId: string) => ResultAsync<KeyValueLease, Failure>;
   readonly revokeLease: (leaseId: string) => ResultAsync<null, Failure>;
-  /** Watches one key; misses, repeats and old revisions are the caller's to tolerate. */
+  /** Watches one key. The caller must tolerate missed and repeated changes and old revisions. */
   readonly watch: (
     key: string,
     fromRevision: number,
@@ -82,7 +83,7 @@
   ) => StopWatch;
 }
 
-/** The calls that a lease machine needs. */
+/** The subset of calls that a lease state machine needs. */
 export type LeaseStore = Pick<
   KeyValuePort,
   'get' | 'transact' | 'grantLease' | 'keepLeaseAlive' | 'revokeLease'
--- a/packages/ports/src/key-value/watch.ts
+++ b/packages/ports/src/key-value/watch.ts
@@ -1,6 +1,6 @@
 /**
- * One watch over the JSON gateway: a streamed answer of one JSON object a line, open until either
- * side ends it.
+ * Runs one watch over the etcd JSON gateway. The response is a stream with one JSON object per line
+ * that stays open until the client or the service ends it.
  */
 import type { Failure } from '@cassiamast/coordination';
 import { asObject, parseJsonObject } from '../http/json.js';
@@ -9,12 +9,12 @@
 import type { KeyValueChange, StopWatch } from './port.js';
 import { encode, readChanges } from './wire.js';
 
-const PATH = '/v3/watch';
+const WATCH_PATH = '/v3/watch';
 
-/** The longest line taken; a value is at most a megabyte and grows by a third in base64. */
+/** Maximum length of a line. A value has at most 1 MB and grows by a third in base64. */
 const MAX_LINE_CHARS = 4 * 1024 * 1024;
 
-/** What to watch and whom to tell. */
+/** The key to watch, the first revision and the callbacks. */
 export interface WatchOptions {
   readonly key: string;
   readonly fromRevision: number;
@@ -23,18 +23,23 @@
   readonly useNextEndpoint: () => void;
 }
 
-/** Starts a watch; `onEnd` is called once unless the caller stops it. */
+/** Starts a watch. `onEnd` is called once, unless the caller stops the watch first. */
 export function startWatch(
   transport: HttpTransport,
   endpoint: string,
   options: WatchOptions,
 ): StopWatch {
   const decoder = new TextDecoder();
-  let pending = '';
+  let partialLine = '';
   let status = 0;
-  // The caller may stop the watch from within `onChange`, with more lines already read.
+  // The caller can stop the watch within `onChange` while further lines are already buffered.
   let stopped = false;
-  const describe = (detail: string) => ({ call: PATH, endpoint, mayHaveRun: false, detail });
+  const failureData = (detail: string) => ({
+    call: WATCH_PATH,
+    endpoint,
+    mayHaveRun: false,
+    detail,
+  });
   const stop = (): void => {
     stopped = true;
     stream.stop();
@@ -43,16 +48,16 @@
     stop();
     options.onEnd(failure);
   };
-  const takeLine = (line: string): boolean => {
+  const handleLine = (line: string): boolean => {
     if (stopped) return false;
     if (line.trim() === '') return true;
     const result = asObject(parseJsonObject(line)?.result);
     if (result === null) {
-      end(KEY_VALUE_PROTOCOL.of(describe('a line of the watch has no result')));
+      end(KEY_VALUE_PROTOCOL.of(failureData('a line of the watch has no result')));
       return false;
     }
     if (result.canceled === true) {
-      end(KEY_VALUE_WATCH_ENDED.of(describe('the service cancelled the watch')));
+      end(KEY_VALUE_WATCH_ENDED.of(failureData('the service cancelled the watch')));
       return false;
     }
     for (const change of readChanges(result)) {
@@ -63,7 +68,7 @@
   const stream = transport.stream(
     {
       origin: endpoint,
-      path: PATH,
+      path: WATCH_PATH,
       method: 'POST',
       headers: { 'content-type': 'application/json' },
       body: JSON.stringify({
@@ -71,25 +76,27 @@
       }),
     },
     {
-      onStart: (code) => {
-        status = code;
-        if (code === 200) return;
-        end(KEY_VALUE_REFUSED.of({ ...describe('no watch was created'), status: code }));
+      onStart: (receivedStatus) => {
+        status = receivedStatus;
+        if (receivedStatus === 200) return;
+        end(
+          KEY_VALUE_REFUSED.of({ ...failureData('no watch was created'), status: receivedStatus }),
+        );
       },
       onData: (chunk) => {
         if (status !== 200) return;
-        pending += decoder.decode(chunk, { stream: true });
-        const lines = pending.split('\n');
-        pending = lines.pop() ?? '';
-        if (!lines.every(takeLine) || pending.length <= MAX_LINE_CHARS) return;
-        end(KEY_VALUE_PROTOCOL.of(describe('a line of the watch is too long')));
+        partialLine += decoder.decode(chunk, { stream: true });
+        const lines = partialLine.split('\n');
+        partialLine = lines.pop() ?? '';
+        if (!lines.every(handleLine) || partialLine.length <= MAX_LINE_CHARS) return;
+        end(KEY_VALUE_PROTOCOL.of(failureData('a line of the watch is too long')));
       },
       onEnd: () => {
-        options.onEnd(KEY_VALUE_WATCH_ENDED.of(describe('the service closed the watch')));
+        options.onEnd(KEY_VALUE_WATCH_ENDED.of(failureData('the service closed the watch')));
       },
       onTrouble: (trouble) => {
         if (!trouble.mayHaveRun) options.useNextEndpoint();
-        options.onEnd(KEY_VALUE_WATCH_ENDED.of(describe(trouble.detail)));
+        options.onEnd(KEY_VALUE_WATCH_ENDED.of(failureData(trouble.detail)));
       },
     },
   );
--- a/packages/ports/src/key-value/wire.ts
+++ b/packages/ports/src/key-value/wire.ts
@@ -1,35 +1,38 @@
 /**
- * The etcd v3 JSON gateway's form of requests and answers: keys and values in base64, 64-bit
- * numbers as text, members with their default value left out.
+ * Encodes requests and decodes responses of the etcd v3 JSON gateway. Keys and values are base64,
+ * 64-bit integers are strings, and fields with their default value are omitted.
  */
 import type { JsonObject } from '../http/json.js';
 import { asList, asNumber, asObject, asText } from '../http/json.js';
 import type { KeyValueChange, KeyValueCompare, KeyValueEntry, KeyValueWrite } from './port.js';
 
-/** Text to base64. */
+/** Encodes text as base64. */
 export function encode(text: string): string {
   return Buffer.from(text, 'utf8').toString('base64');
 }
 
-/** Base64 to text. */
+/** Decodes base64 to text. */
 export function decode(base64: string): string {
   return Buffer.from(base64, 'base64').toString('utf8');
 }
 
-/** The key that ends the range of all keys with this prefix: its last byte plus one. */
+/**
+ * Returns the exclusive end of the range of all keys with this prefix, in base64: the prefix with
+ * its last byte incremented.
+ */
 export function rangeEnd(prefix: string): string {
   const bytes = Buffer.from(prefix, 'utf8');
-  for (let at = bytes.length - 1; at >= 0; at--) {
-    const byte = bytes[at] ?? 0xff;
+  for (let index = bytes.length - 1; index >= 0; index--) {
+    const byte = bytes[index] ?? 0xff;
     if (byte < 0xff) {
-      bytes[at] = byte + 1;
-      return bytes.subarray(0, at + 1).toString('base64');
+      bytes[index] = byte + 1;
+      return bytes.subarray(0, index + 1).toString('base64');
     }
   }
   return Buffer.from([0]).toString('base64');
 }
 
-/** A transaction's body; where a comparison fails, it reads the compared keys instead. */
+/** Builds the body of a transaction that reads the compared keys if a condition is not met. */
 export function transactionBody(
   compares: readonly KeyValueCompare[],
   writes: readonly KeyValueWrite[],
@@ -53,7 +56,7 @@
   return { request_put: write.leaseId === undefined ? put : { ...put, lease: write.leaseId } };
 }
 
-/** One stored entry. */
+/** Parses a stored entry; returns null if it has no key. */
 export function readEntry(value: unknown): KeyValueEntry | null {
   const kv = asObject(value);
   if (kv === null || typeof kv.key !== 'string') return null;
@@ -65,19 +68,19 @@
   };
 }
 
-/** The entries of a range answer. */
+/** Parses the entries of a range response. */
 export function readEntries(answer: JsonObject): readonly KeyValueEntry[] {
   return asList(answer.kvs)
     .map(readEntry)
     .filter((entry) => entry !== null);
 }
 
-/** The service's revision in an answer's header. */
+/** Returns the service's revision from the header of a response. */
 export function readRevision(answer: JsonObject): number {
   return asNumber(asObject(answer.header)?.revision);
 }
 
-/** The entries that a failed transaction read instead. */
+/** Parses the entries that a transaction read because a condition was not met. */
 export function readTransactionEntries(answer: JsonObject): readonly KeyValueEntry[] {
   return asList(answer.responses).flatMap((response) => {
     const range = asObject(asObject(response)?.response_range);
@@ -85,13 +88,13 @@
   });
 }
 
-/** The changes in one message of a watch. */
+/** Parses the changes in one message of a watch. */
 export function readChanges(result: JsonObject): readonly KeyValueChange[] {
   return asList(result.events).flatMap((event) => {
-    const body = asObject(event);
-    const entry = readEntry(body?.kv);
-    if (body === null || entry === null) return [];
-    const removed = body.type === 'DELETE';
+    const eventBody = asObject(event);
+    const entry = readEntry(eventBody?.kv);
+    if (eventBody === null || entry === null) return [];
+    const removed = eventBody.type === 'DELETE';
     return [{ key: entry.key, entry: removed ? null : entry, revision: entry.modRevision }];
   });
 }
--- a/packages/ports/test/key-value/wire.test.ts
+++ b/packages/ports/test/key-value/wire.test.ts
@@ -1,4 +1,4 @@
-/** The JSON gateway's form of keys and ranges. */
+/** Tests the encoding of keys, ranges and entries for the etcd v3 JSON gateway. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
@@ -6,9 +6,9 @@
 
 const SEED = 20_261_202;
 
-describe('key-value wire form', () => {
-  describe('texts', () => {
-    it('come back as they went', () => {
+describe('key-value wire format', () => {
+  describe('text', () => {
+    it('is unchanged after encoding and decoding', () => {
       fc.assert(
         fc.property(fc.string({ unit: 'grapheme' }), (text) => decode(encode(text)) === text),
         { seed: SEED },
@@ -16,14 +16,14 @@
     });
   });
 
-  describe('the range of a prefix', () => {
-    it('ends after every key that begins with it, and before the next', () => {
+  describe('the range end of a prefix', () => {
+    it('sorts after the prefix and every key that starts with it, and has the same length', () => {
       const text = fc.string({ unit: 'grapheme-ascii', minLength: 1 });
       fc.assert(
-        fc.property(text, text, (prefix, more) => {
+        fc.property(text, text, (prefix, suffix) => {
           const end = Buffer.from(rangeEnd(prefix), 'base64');
-          const inside = Buffer.from(prefix + more, 'utf8');
-          assert.ok(Buffer.compare(inside, end) < 0);
+          const keyInRange = Buffer.from(prefix + suffix, 'utf8');
+          assert.ok(Buffer.compare(keyInRange, end) < 0);
           assert.ok(Buffer.compare(Buffer.from(prefix, 'utf8'), end) < 0);
           assert.equal(end.length, Buffer.byteLength(prefix));
         }),
@@ -33,7 +33,7 @@
   });
 
   describe('an entry', () => {
-    it('reads 64-bit numbers written as text, and none that has no key', () => {
+    it('is parsed with 64-bit integers given as strings, and rejected without a key', () => {
       const entry = readEntry({
         key: encode('k'),
         value: encode('v'),
