--- a/packages/ports/src/index.ts
+++ b/packages/ports/src/index.ts
@@ -1,6 +1,7 @@
 /**
- * The ports to the outside systems and their adapters. A port is a record of functions, so that a
- * user's real system replaces a stand-in without touching a decision.
+ * Public API of the ports package: interfaces to outside systems and their HTTP clients. Each port
+ * is a record of functions, so that a real system can replace a stand-in without changes to the
+ * decision code.
  */
 export * from './engine-control/failures.js';
 export * from './engine-control/port.js';
--- a/packages/ports/src/plain-service/client.ts
+++ b/packages/ports/src/plain-service/client.ts
@@ -1,5 +1,6 @@
 /**
- * The plain service port over HTTP: one exchange, relayed whole, never repeated.
+ * HTTP client for the plain service port. Forwards each call as one buffered exchange and never
+ * retries it.
  */
 import { err, ok, ResultAsync } from 'neverthrow';
 import type { Failure } from '@cassiamast/coordination';
@@ -13,11 +14,11 @@
 const DEFAULT_MAX_CONNECTIONS = 256;
 const DEFAULT_MAX_ANSWER_BYTES = 8 * 1024 * 1024;
 
-/** Header by which the service recognises a request; the same in a repetition. */
+/** Header by which the service recognizes a retry: it has the same value in each attempt. */
 export const REQUEST_ID_HEADER = 'x-request-id';
 
-/** Headers that belong to one hop and are not relayed. */
-const HOP_HEADERS = new Set([
+/** Headers that apply to a single connection and are not forwarded. */
+const HOP_BY_HOP_HEADERS = new Set([
   'connection',
   'keep-alive',
   'transfer-encoding',
@@ -35,12 +36,12 @@
   readonly maxAnswerBytes?: number;
 }
 
-/** The port with the means to let go of its connections. */
+/** The plain service port with a method that closes its connections. */
 export interface PlainServiceClient extends PlainServicePort {
   readonly close: () => Promise<void>;
 }
 
-/** Makes a client of one plain service. */
+/** Creates a client for one plain service. */
 export function createPlainServiceClient(options: PlainServiceClientOptions): PlainServiceClient {
   const transport = createHttpTransport({
     connectTimeoutMs: options.connectTimeoutMs ?? DEFAULT_CONNECT_TIMEOUT_MS,
@@ -60,34 +61,36 @@
   maxAnswerBytes: number,
   request: PlainRequest,
 ): Promise<Result<PlainResponse, Failure>> {
-  const outcome = await transport.exchange(httpRequest(address, request), {
+  const outcome = await transport.exchange(toHttpRequest(address, request), {
     timeoutMs: request.timeoutMs,
     maxAnswerBytes,
   });
   if (isTrouble(outcome)) {
     const { mayHaveRun, detail } = outcome;
-    const kind = mayHaveRun ? PLAIN_SERVICE_ANSWER_LOST : PLAIN_SERVICE_UNREACHABLE;
-    return err(kind.of({ requestId: request.requestId, address, mayHaveRun, detail }));
+    const failureKind = mayHaveRun ? PLAIN_SERVICE_ANSWER_LOST : PLAIN_SERVICE_UNREACHABLE;
+    return err(failureKind.of({ requestId: request.requestId, address, mayHaveRun, detail }));
   }
   return ok({
     status: outcome.status,
-    headers: withoutHopHeaders(outcome.headers),
+    headers: withoutHopByHopHeaders(outcome.headers),
     bodyBase64: outcome.body.toString('base64'),
   });
 }
 
-function httpRequest(address: string, request: PlainRequest): HttpRequest {
+function toHttpRequest(address: string, request: PlainRequest): HttpRequest {
   const body = Buffer.from(request.bodyBase64, 'base64');
   return {
     origin: address,
     method: request.method as HttpRequest['method'],
     path: request.path,
-    headers: { ...withoutHopHeaders(request.headers), [REQUEST_ID_HEADER]: request.requestId },
+    headers: { ...withoutHopByHopHeaders(request.headers), [REQUEST_ID_HEADER]: request.requestId },
     body: body.length === 0 ? null : body,
   };
 }
 
-function withoutHopHeaders(headers: Readonly<Record<string, string>>): Record<string, string> {
-  const kept = Object.entries(headers).filter(([name]) => !HOP_HEADERS.has(name.toLowerCase()));
-  return Object.fromEntries(kept);
+function withoutHopByHopHeaders(headers: Readonly<Record<string, string>>): Record<string, string> {
+  const forwardedHeaders = Object.entries(headers).filter(
+    ([name]) => !HOP_BY_HOP_HEADERS.has(name.toLowerCase()),
+  );
+  return Object.fromEntries(forwardedHeaders);
 }
--- a/packages/ports/src/plain-service/failures.ts
+++ b/packages/ports/src/plain-service/failures.ts
@@ -1,9 +1,10 @@
 /**
- * Failures of a plain service. A status that the service itself gave is an answer, not a failure.
+ * Failures of calls to a plain service. Any status that the service returns, including an error
+ * status, is a response and not a failure.
  */
 import { defineFailure } from '@cassiamast/coordination';
 
-/** What each failure of a call says. */
+/** Data of every failed call. */
 export interface PlainCallData {
   readonly requestId: string;
   readonly address: string;
@@ -11,7 +12,7 @@
   readonly detail: string;
 }
 
-/** No connection: the service never saw the call. */
+/** No connection could be established, so the service did not receive the call. */
 export const PLAIN_SERVICE_UNREACHABLE = defineFailure({
   name: 'plain-service-unreachable',
   title: 'The plain service cannot be reached',
@@ -19,7 +20,10 @@
   hint: 'Look whether the service runs and whether the address of its target is right.',
 });
 
-/** The connection broke or the time ran out: the call may have run. */
+/**
+ * The call was sent, but the response is incomplete, late or too large. The service may have run
+ * the call.
+ */
 export const PLAIN_SERVICE_ANSWER_LOST = defineFailure({
   name: 'plain-service-answer-lost',
   title: 'The plain service gave no whole answer',
--- a/packages/ports/src/vm-list/client.ts
+++ b/packages/ports/src/vm-list/client.ts
@@ -1,5 +1,5 @@
 /**
- * The VM list port over HTTP: `GET /vms`.
+ * HTTP client for the VM list port. Reads `GET /vms`.
  */
 import type { Failure } from '@cassiamast/coordination';
 import type { Result } from 'neverthrow';
@@ -13,7 +13,7 @@
 
 const DEFAULT_CALL_TIMEOUT_MS = 1_000;
 const MAX_CONNECTIONS = 2;
-/** Some 200 bytes a VM; room for ten thousand. */
+/** Enough for 10,000 VMs of about 200 bytes each. */
 const MAX_ANSWER_BYTES = 2 * 1024 * 1024;
 
 /** Options of {@link createVmListClient}. */
@@ -23,12 +23,12 @@
   readonly callTimeoutMs?: number;
 }
 
-/** The port with the means to let go of its connections. */
+/** The VM list port with a method that closes its connections. */
 export interface VmListClient extends VmListPort {
   readonly close: () => Promise<void>;
 }
 
-/** Makes a client of the list. */
+/** Creates a client for the VM list. */
 export function createVmListClient(options: VmListClientOptions): VmListClient {
   const callTimeoutMs = options.callTimeoutMs ?? DEFAULT_CALL_TIMEOUT_MS;
   const transport = createHttpTransport({
--- a/packages/ports/src/vm-list/failures.ts
+++ b/packages/ports/src/vm-list/failures.ts
@@ -1,7 +1,7 @@
-/** Failures of the platform's list of VMs. It is only read, so no call changes anything. */
+/** Failures of the platform's VM list. The list is read-only, so no call has side effects. */
 import { defineFailure } from '@cassiamast/coordination';
 
-/** The list could not be read. */
+/** The VM list could not be read. */
 export const VM_LIST_UNAVAILABLE = defineFailure({
   name: 'vm-list-unavailable',
   title: 'The list of VMs cannot be read',
--- a/packages/ports/src/vm-list/port.ts
+++ b/packages/ports/src/vm-list/port.ts
@@ -1,17 +1,18 @@
 /**
- * The platform's list of VMs, which lags: a VM may be listed live when it is dead, or as leaving
- * late or early. One sign among several, never the only one.
+ * Interface to the platform's list of VMs. The list lags: it can show a dead VM as live, or a VM as
+ * leaving too late or too early. Callers must combine it with other signals and never rely on it
+ * alone.
  */
 import type { Failure } from '@cassiamast/coordination';
 import type { ResultAsync } from 'neverthrow';
 
-/** What the platform says of a VM. */
+/** State of a VM as reported by the platform. */
 export enum VmState {
   Live = 'live',
   Leaving = 'leaving',
 }
 
-/** One VM, found by its address. */
+/** A VM in the list, identified by its address. */
 export interface VmListing {
   readonly host: string;
   readonly port: number;
@@ -19,7 +20,7 @@
   readonly state: VmState;
 }
 
-/** Calls to the list. */
+/** Calls to the VM list. */
 export interface VmListPort {
   readonly list: () => ResultAsync<readonly VmListing[], Failure>;
 }
--- a/packages/ports/src/weight-store/client.ts
+++ b/packages/ports/src/weight-store/client.ts
@@ -1,5 +1,5 @@
 /**
- * The weight store port over HTTP: `GET /status`.
+ * HTTP client for the weight store port. Reads `GET /status`.
  */
 import type { Failure } from '@cassiamast/coordination';
 import type { Result } from 'neverthrow';
@@ -21,12 +21,12 @@
   readonly callTimeoutMs?: number;
 }
 
-/** The port with the means to let go of its connections. */
+/** The weight store port with a method that closes its connections. */
 export interface WeightStoreClient extends WeightStorePort {
   readonly close: () => Promise<void>;
 }
 
-/** Makes a client of the weight store. */
+/** Creates a client for the weight store. */
 export function createWeightStoreClient(options: WeightStoreClientOptions): WeightStoreClient {
   const callTimeoutMs = options.callTimeoutMs ?? DEFAULT_CALL_TIMEOUT_MS;
   const transport = createHttpTransport({
--- a/packages/ports/src/weight-store/failures.ts
+++ b/packages/ports/src/weight-store/failures.ts
@@ -1,7 +1,7 @@
-/** Failures of the weight store. Its status is only read, so no call changes anything. */
+/** Failures of the weight store. Only its status is read, so no call has side effects. */
 import { defineFailure } from '@cassiamast/coordination';
 
-/** The store's status could not be read. */
+/** The status of the weight store could not be read. */
 export const WEIGHT_STORE_UNAVAILABLE = defineFailure({
   name: 'weight-store-unavailable',
   title: 'The weight store gives no status',
