--- a/packages/config-text/src/core/compile/compile.ts
+++ b/packages/config-text/src/core/compile/compile.ts
@@ -1,6 +1,6 @@
 /**
- * Compiles the operators' text to the configuration that every process acts on, or reports every
- * fault at once, in the order of the text.
+ * Compiles the operators' YAML text to the configuration that all processes use. If the text has
+ * faults, reports all of them in one pass, ordered by position.
  */
 import {
   TargetKind,
@@ -10,54 +10,54 @@
   type WorkspaceSpec,
 } from '@cassiamast/coordination';
 import { err, ok, type Result } from 'neverthrow';
-import type { TextFault, UnplacedFault } from '../faults/fault.js';
+import type { TextFault, UnlocatedFault } from '../faults/fault.js';
 import { DOCUMENT_TOO_LARGE, MORE_FAULTS } from '../faults/failures.js';
-import { placeFault, type PlacedDocument } from '../faults/place.js';
+import { locateFault, type IndexedDocument } from '../faults/place.js';
 import { structureFaults } from '../faults/structure.js';
 import { nameFaults } from '../names/names.js';
 import { defaultFloor, serviceFaults } from '../names/service-rules.js';
 import {
   serviceSchema,
   textSchema,
-  type ReadService,
-  type ReadText,
-  type ReadWorkspace,
+  type ValidatedService,
+  type ValidatedText,
+  type ValidatedWorkspace,
 } from '../schema/schema.js';
 import { ENVELOPE_BYTES, MAX_DOCUMENT_BYTES, MAX_FAULTS } from './limits.js';
 import { parseText } from './parse.js';
 
 /**
- * Checks and compiles a text. Never throws, and changes nothing.
+ * Validates and compiles a text. Never throws and has no side effects.
  *
- * @returns the configuration, or at most {@link MAX_FAULTS} faults in the order of the text.
+ * @returns the configuration, or at most {@link MAX_FAULTS} faults ordered by line and column.
  */
 export function compileText(text: string): Result<Configuration, readonly TextFault[]> {
   return parseText(text)
     .andThen((parsed) => checkParsed(parsed, parsed.raw))
     .andThen((configuration) => checkDocumentSize(text, configuration))
-    .mapErr(inTextOrder);
+    .mapErr(sortAndLimitFaults);
 }
 
 function checkParsed(
-  placed: PlacedDocument,
+  indexed: IndexedDocument,
   raw: unknown,
 ): Result<Configuration, readonly TextFault[]> {
-  const read = textSchema.safeParse(raw);
-  const structural = read.success
+  const validated = textSchema.safeParse(raw);
+  const structural = validated.success
     ? []
-    : read.error.issues.flatMap((issue) => structureFaults(raw, issue));
-  const faults = [...structural, ...nameFaults(raw), ...rulesOfServices(raw)];
-  if (read.success && faults.length === 0) return ok(configurationOf(read.data));
-  return err(faults.map(({ failure, path, atKey }) => placeFault(placed, failure, path, atKey)));
+    : validated.error.issues.flatMap((issue) => structureFaults(raw, issue));
+  const faults = [...structural, ...nameFaults(raw), ...serviceRuleFaults(raw)];
+  if (validated.success && faults.length === 0) return ok(toConfiguration(validated.data));
+  return err(faults.map(({ failure, path, atKey }) => locateFault(indexed, failure, path, atKey)));
 }
 
-/** Checks each service that is well-formed by itself, also where others are not. */
-function rulesOfServices(raw: unknown): UnplacedFault[] {
+/** Applies the service rules to each well-formed service, even if other services are malformed. */
+function serviceRuleFaults(raw: unknown): UnlocatedFault[] {
   const services: unknown = (raw as { services?: unknown } | null)?.services;
   if (!Array.isArray(services)) return [];
   return services.flatMap((service: unknown, index) => {
-    const read = serviceSchema.safeParse(service);
-    return read.success ? serviceFaults(read.data, index) : [];
+    const validated = serviceSchema.safeParse(service);
+    return validated.success ? serviceFaults(validated.data, index) : [];
   });
 }
 
@@ -65,26 +65,26 @@
   text: string,
   configuration: Configuration,
 ): Result<Configuration, readonly TextFault[]> {
-  const stored = JSON.stringify({ text, compiled: configuration });
-  const sizeBytes = Buffer.byteLength(stored, 'utf8') + ENVELOPE_BYTES;
+  const storedJson = JSON.stringify({ text, compiled: configuration });
+  const sizeBytes = Buffer.byteLength(storedJson, 'utf8') + ENVELOPE_BYTES;
   if (sizeBytes <= MAX_DOCUMENT_BYTES) return ok(configuration);
   const failure = DOCUMENT_TOO_LARGE.of({ sizeBytes, maxBytes: MAX_DOCUMENT_BYTES });
   return err([{ ...failure, line: 1, column: 1, path: '' }]);
 }
 
-function inTextOrder(faults: readonly TextFault[]): readonly TextFault[] {
+function sortAndLimitFaults(faults: readonly TextFault[]): readonly TextFault[] {
   const ordered = [...faults].sort((a, b) => a.line - b.line || a.column - b.column);
   if (ordered.length <= MAX_FAULTS) return ordered;
   const listed = ordered.slice(0, MAX_FAULTS - 1);
-  const place = { line: 1, column: 1, ...listed.at(-1), path: '' };
+  const lastPosition = { line: 1, column: 1, ...listed.at(-1), path: '' };
   const more = MORE_FAULTS.of({ omitted: ordered.length - listed.length });
-  return [...listed, { ...more, line: place.line, column: place.column, path: '' }];
+  return [...listed, { ...more, line: lastPosition.line, column: lastPosition.column, path: '' }];
 }
 
-function configurationOf(text: ReadText): Configuration {
+function toConfiguration(text: ValidatedText): Configuration {
   return {
-    services: text.services.map(serviceOf),
-    workspaces: text.workspaces.map(workspaceOf),
+    services: text.services.map(toServiceSpec),
+    workspaces: text.workspaces.map(toWorkspaceSpec),
     limits: {
       answerRetentionMs: text.limits.answerRetention,
       maxPromptTokens: text.limits.maxPrompt,
@@ -95,14 +95,14 @@
   };
 }
 
-function serviceOf(service: ReadService): ServiceSpec {
+function toServiceSpec(service: ValidatedService): ServiceSpec {
   return {
     name: service.name,
     kind: service.kind,
     dependsOn: service.dependsOn,
     models: (service.models ?? []).map(({ size, ...model }) => ({ ...model, sizeMb: size })),
     calls: (service.calls ?? []).map(({ path, repeatable }) => ({ pathPrefix: path, repeatable })),
-    targets: service.targets.map((target) => targetOf(service, target)),
+    targets: service.targets.map((target) => toTargetSpec(service, target)),
     goals: {
       firstTokenMs: service.goals.firstToken,
       interTokenMs: service.goals.interToken,
@@ -115,11 +115,14 @@
   };
 }
 
-function targetOf(service: ReadService, target: ReadService['targets'][number]): TargetSpec {
+function toTargetSpec(
+  service: ValidatedService,
+  target: ValidatedService['targets'][number],
+): TargetSpec {
   return { ...target, checksFencing: target.checksFencing ?? service.checksFencing ?? false };
 }
 
-function workspaceOf(workspace: ReadWorkspace): WorkspaceSpec {
+function toWorkspaceSpec(workspace: ValidatedWorkspace): WorkspaceSpec {
   return {
     name: workspace.name,
     share: workspace.share,
--- a/packages/config-text/src/core/compile/limits.ts
+++ b/packages/config-text/src/core/compile/limits.ts
@@ -1,34 +1,34 @@
 /**
- * The bounds of the operators' text. They keep the stored document under the key-value service's
- * value limit and the cost of a check under a second, and leave several times the room that 410
- * nodes, 730 servers and 960 workspaces take.
+ * Limits on the operators' text. They keep the stored document below the key-value service's size
+ * limit and the time of a check below one second. They allow several times the size of a deployment
+ * with 410 nodes, 730 targets and 960 workspaces.
  */
 
-/** Bytes of the text as UTF-8; refused before it is parsed. */
+/** Maximum size of the text in UTF-8; a larger text is rejected before it is parsed. */
 export const MAX_TEXT_BYTES = 1_000_000;
 
 /**
- * Bytes of the document as stored: the text, what it compiles to and {@link ENVELOPE_BYTES}. One
- * transaction writes it twice, as the current version and into the history, and the key-value
- * service takes requests of at most 1.5 MB.
+ * Maximum size of the stored document: the text, the compiled configuration and
+ * {@link ENVELOPE_BYTES}. One transaction writes the document twice, as the current version and as a
+ * history entry, and the key-value service accepts requests of at most 1.5 MB.
  */
 export const MAX_DOCUMENT_BYTES = 700_000;
 
-/** Room in the document for version, edit id, time and author. */
+/** Space reserved in the stored document for version, edit ID, time and author. */
 export const ENVELOPE_BYTES = 2_000;
 
-/** Levels of nesting; the schema itself needs six. */
+/** Maximum nesting depth; the schema itself needs six levels. */
 export const MAX_NESTING_DEPTH = 32;
 
-/** Words and signs of the YAML; the target size takes a fifth of it. */
+/** Maximum number of YAML lexer tokens; a deployment of the planned size uses a fifth of them. */
 export const MAX_TOKENS = 300_000;
 
-/** Faults reported at once; the last one counts those left out. */
+/** Maximum number of reported faults; the last one states how many were omitted. */
 export const MAX_FAULTS = 200;
 
 export const MAX_SERVICES = 64;
 export const MAX_TARGETS_PER_SERVICE = 2_048;
-/** Over all services. */
+/** Total across all services. */
 export const MAX_TARGETS = 2_048;
 export const MAX_WORKSPACES = 2_048;
 export const MAX_FAILURE_DOMAINS = 64;
--- a/packages/config-text/src/core/compile/parse.ts
+++ b/packages/config-text/src/core/compile/parse.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the text as YAML into plain data, safely: bounded size and depth, no aliases, one document.
- * Nothing here throws, whatever the text is.
+ * Parses untrusted YAML into plain data with limits on size, nesting and token count. Rejects aliases
+ * and multiple documents, and never throws.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { isAlias, isScalar, Lexer, LineCounter, parseDocument, visit, type Document } from 'yaml';
@@ -14,35 +14,35 @@
   TEXT_TOO_LARGE,
   TOO_MANY_TOKENS,
 } from '../faults/failures.js';
-import { positionAt, type PlacedDocument } from '../faults/place.js';
+import { positionAt, type IndexedDocument } from '../faults/place.js';
 import { quoted } from '../quantities/quantity.js';
 import { MAX_NESTING_DEPTH, MAX_TEXT_BYTES, MAX_TOKENS } from './limits.js';
 
-/** The parsed document and its plain data. */
-export interface ParsedText extends PlacedDocument {
+/** A parsed document together with its plain data. */
+export interface ParsedText extends IndexedDocument {
   readonly raw: unknown;
 }
 
-const START = { line: 1, column: 1 };
+const TEXT_START = { line: 1, column: 1 };
 
 function faultAt(lines: LineCounter, offset: number, failure: Failure): TextFault {
   return { ...failure, ...positionAt(lines, offset), path: '' };
 }
 
-/** Parses the text, or reports every fault of its syntax. */
+/** Parses the text, or reports all syntax faults. */
 export function parseText(text: string): Result<ParsedText, readonly TextFault[]> {
   const sizeBytes = Buffer.byteLength(text, 'utf8');
   if (sizeBytes > MAX_TEXT_BYTES) {
     const failure = TEXT_TOO_LARGE.of({ sizeBytes, maxBytes: MAX_TEXT_BYTES });
-    return err([{ ...failure, ...START, path: '' }]);
+    return err([{ ...failure, ...TEXT_START, path: '' }]);
   }
-  const tooComplex = complexityFault(text);
-  if (tooComplex !== null) return err([tooComplex]);
+  const tooComplexFault = complexityFault(text);
+  if (tooComplexFault !== null) return err([tooComplexFault]);
   const lines = new LineCounter();
   const document = parseDocument(text, {
     lineCounter: lines,
     prettyErrors: false,
-    // The library's own check compares every key with every other; duplicateFields is linear.
+    // The library's own check compares all pairs of keys; duplicateFields runs in linear time.
     uniqueKeys: false,
   });
   const faults = [
@@ -55,30 +55,30 @@
 }
 
 /**
- * Guards against two ways to stop the process with a small text. A megabyte of "[" or "- " nests
- * half a million levels, and the recursive parser would end with a RangeError; a megabyte of signs
- * that are all wrong would keep it busy for many seconds. The lexer neither recurses nor collects
- * errors, so both are known before the parser runs.
+ * Rejects two kinds of small text that would block or crash the process. A megabyte of "[" or "- "
+ * nests half a million levels, which makes the recursive parser throw a RangeError. A megabyte of
+ * invalid tokens keeps the parser busy for many seconds. The lexer neither recurses nor collects
+ * errors, so it can detect both cases before the parser runs.
  */
 function complexityFault(text: string): TextFault | null {
   let flowDepth = 0;
-  let indicators = 0;
+  let lineIndicators = 0;
   let atLineStart = true;
   let offset = 0;
   let tokens = 0;
   for (const token of new Lexer().lex(text)) {
     if (token === '[' || token === '{') flowDepth += 1;
     if (token === ']' || token === '}') flowDepth = Math.max(0, flowDepth - 1);
-    // Block collections nest by indentation, or within one line as in "- - - a".
-    if (token === '\n') indicators = 0;
-    if (token === '-' || token === '?') indicators += 1;
+    // Block collections nest by indentation or within one line, as in "- - - a".
+    if (token === '\n') lineIndicators = 0;
+    if (token === '-' || token === '?') lineIndicators += 1;
     const indentLevels = atLineStart && /^ +$/.test(token) ? token.length / 2 : 0;
-    if (Math.max(flowDepth, indicators, indentLevels) > MAX_NESTING_DEPTH) {
-      return textFault(text, offset, NESTED_TOO_DEEP.of({ maxDepth: MAX_NESTING_DEPTH }));
+    if (Math.max(flowDepth, lineIndicators, indentLevels) > MAX_NESTING_DEPTH) {
+      return faultBeforeParsing(text, offset, NESTED_TOO_DEEP.of({ maxDepth: MAX_NESTING_DEPTH }));
     }
     tokens += 1;
     if (tokens > MAX_TOKENS) {
-      return textFault(text, offset, TOO_MANY_TOKENS.of({ maxTokens: MAX_TOKENS }));
+      return faultBeforeParsing(text, offset, TOO_MANY_TOKENS.of({ maxTokens: MAX_TOKENS }));
     }
     atLineStart = token === '\n';
     offset += token.length;
@@ -86,9 +86,12 @@
   return null;
 }
 
-function textFault(text: string, offset: number, failure: Failure): TextFault {
-  const before = text.slice(0, offset).split('\n');
-  const position = { line: before.length, column: (before.at(-1)?.length ?? 0) + 1 };
+function faultBeforeParsing(text: string, offset: number, failure: Failure): TextFault {
+  const precedingLines = text.slice(0, offset).split('\n');
+  const position = {
+    line: precedingLines.length,
+    column: (precedingLines.at(-1)?.length ?? 0) + 1,
+  };
   return { ...failure, ...position, path: '' };
 }
 
--- a/packages/config-text/src/core/faults/failures.ts
+++ b/packages/config-text/src/core/faults/failures.ts
@@ -1,6 +1,6 @@
 /**
- * The catalogue of faults that the operators' text can have. Each message names the offending
- * value, each hint says what to write instead.
+ * Defines every failure that the check of the operators' text can report. Each message names the
+ * offending value and each hint explains how to correct it.
  */
 import { defineFailure } from '@cassiamast/coordination';
 
--- a/packages/config-text/src/core/faults/fault.ts
+++ b/packages/config-text/src/core/faults/fault.ts
@@ -1,5 +1,5 @@
 /**
- * One fault of the operators' text: a failure of the catalogue together with the place in the text
+ * Types for faults in the operators' text. A fault is a failure together with the line and column
  * that an editor can jump to.
  */
 import type { Failure } from '@cassiamast/coordination';
@@ -7,27 +7,27 @@
 /** Keys and list indices from the root of the text to a value. */
 export type TextPath = readonly (string | number)[];
 
-/** A place in the text; both count from 1. */
+/** A position in the text; line and column are 1-based. */
 export interface TextPosition {
   readonly line: number;
   readonly column: number;
 }
 
-/** A failure before its place in the text is looked up. */
-export interface UnplacedFault {
+/** A failure whose line and column have not been resolved yet. */
+export interface UnlocatedFault {
   readonly failure: Failure;
   readonly path: TextPath;
-  /** Whether the place is the key at the end of the path and not its value. */
+  /** Whether the fault is reported at the key of the last path element instead of at its value. */
   readonly atKey: boolean;
 }
 
-/** A fault as it is reported; plain data. */
+/** A fault as reported to operators; plain data that can be serialized. */
 export interface TextFault extends Failure, TextPosition {
-  /** Where in the data, such as `services[0].targets[2].sidecar`. */
+  /** Path of the value, such as `services[0].targets[2].sidecar`. */
   readonly path: string;
 }
 
-/** Writes a path as operators read it. */
+/** Formats a path for operators, such as `services[0].name`. */
 export function pathText(path: TextPath): string {
   return path
     .map((part) => (typeof part === 'number' ? `[${String(part)}]` : `.${part}`))
--- a/packages/config-text/src/core/faults/place.ts
+++ b/packages/config-text/src/core/faults/place.ts
@@ -1,23 +1,23 @@
 /**
- * Finds where in the text a value stands: the line and column of a path in a parsed document.
+ * Resolves a path in a parsed document to the line and column in its source text.
  */
 import { isMap, isNode, isScalar, isSeq, type Document, type LineCounter, type Node } from 'yaml';
 import type { Failure } from '@cassiamast/coordination';
 import { pathText, type TextFault, type TextPath, type TextPosition } from './fault.js';
 
-/** A parsed document with the index of its lines. */
-export interface PlacedDocument {
+/** A parsed document with the line index of its source text. */
+export interface IndexedDocument {
   readonly document: Document.Parsed;
   readonly lines: LineCounter;
 }
 
-interface Found {
+interface ChildNode {
   readonly node: Node | null;
-  /** Offset of the key that led to the node, where it is a mapping's value. */
+  /** Offset of the node's key, or null if the parent is a list. */
   readonly keyOffset: number | null;
 }
 
-function step(from: Node | null, part: string | number): Found | null {
+function findChild(from: Node | null, part: string | number): ChildNode | null {
   if (isSeq(from) && typeof part === 'number') {
     const item = from.items[part];
     return isNode(item) ? { node: item, keyOffset: null } : null;
@@ -33,30 +33,30 @@
   return null;
 }
 
-/** The offset of the value, of its key, or of the nearest value around it that is there. */
+/** Returns the offset of the value or its key, or that of the nearest enclosing value that exists. */
 function offsetOf(document: Document.Parsed, path: TextPath, atKey: boolean): number {
   let node: Node | null = document.contents;
   let offset = node?.range?.[0] ?? 0;
   for (const [index, part] of path.entries()) {
-    const found = step(node, part);
-    if (found === null) return offset;
-    const last = index === path.length - 1;
-    const valueOffset = found.node?.range?.[0] ?? null;
-    offset = (last && atKey ? found.keyOffset : null) ?? valueOffset ?? found.keyOffset ?? offset;
-    node = found.node;
+    const child = findChild(node, part);
+    if (child === null) return offset;
+    const isLast = index === path.length - 1;
+    const valueOffset = child.node?.range?.[0] ?? null;
+    offset = (isLast && atKey ? child.keyOffset : null) ?? valueOffset ?? child.keyOffset ?? offset;
+    node = child.node;
   }
   return offset;
 }
 
-/** Line and column of an offset. */
+/** Converts an offset to a 1-based line and column. */
 export function positionAt(lines: LineCounter, offset: number): TextPosition {
   const { line, col } = lines.linePos(offset);
   return { line: Math.max(1, line), column: Math.max(1, col) };
 }
 
-/** Puts a failure at its place. */
-export function placeFault(
-  { document, lines }: PlacedDocument,
+/** Adds line, column and formatted path to a failure. */
+export function locateFault(
+  { document, lines }: IndexedDocument,
   failure: Failure,
   path: TextPath,
   atKey: boolean,
--- a/packages/config-text/src/core/faults/structure.ts
+++ b/packages/config-text/src/core/faults/structure.ts
@@ -1,11 +1,11 @@
 /**
- * Turns what zod finds into the catalogue's faults, one for each.
+ * Converts zod issues to the failures that operators see.
  */
 import type { Failure } from '@cassiamast/coordination';
 import type { z } from 'zod';
 import { quoted } from '../quantities/quantity.js';
 import { knownFields } from '../schema/known-fields.js';
-import type { TextPath, UnplacedFault } from './fault.js';
+import type { TextPath, UnlocatedFault } from './fault.js';
 import {
   MALFORMED,
   MISSING_FIELD,
@@ -19,7 +19,7 @@
 
 type Issue = z.core.$ZodIssue;
 
-const TYPE_WORDS: Readonly<Record<string, string>> = {
+const TYPE_DESCRIPTIONS: Readonly<Record<string, string>> = {
   array: 'a list',
   object: 'a mapping',
   record: 'a mapping',
@@ -29,7 +29,7 @@
   boolean: 'true or false',
 };
 
-/** The value at a path of plain data; undefined where the path ends early. */
+/** Returns the value at a path in plain data, or undefined if the path does not exist. */
 export function valueAt(root: unknown, path: TextPath): unknown {
   let value = root;
   for (const part of path) {
@@ -40,51 +40,51 @@
   return value;
 }
 
-function foundWord(value: unknown): string {
+function describeValue(value: unknown): string {
   if (value === null || value === undefined) return 'nothing';
   if (Array.isArray(value)) return 'a list';
   if (typeof value === 'object') return 'a mapping';
   return quoted(value);
 }
 
-function at(failure: Failure, path: TextPath, atKey = false): UnplacedFault {
+function faultAt(failure: Failure, path: TextPath, atKey = false): UnlocatedFault {
   return { failure, path, atKey };
 }
 
-function unknownFields(path: TextPath, fields: readonly string[]): UnplacedFault[] {
+function unknownFields(path: TextPath, fields: readonly string[]): UnlocatedFault[] {
   const known = knownFields(path);
   return fields.map((field) => {
     const failure = UNKNOWN_FIELD.of({ field: quoted(field), nearest: nearestName(field, known) });
-    return at(failure, [...path, field], true);
+    return faultAt(failure, [...path, field], true);
   });
 }
 
-function wrongType(root: unknown, path: TextPath, expected: string): UnplacedFault {
+function wrongType(root: unknown, path: TextPath, expected: string): UnlocatedFault {
   const value = valueAt(root, path);
-  if (value === undefined) return missing(path);
+  if (value === undefined) return missingField(path);
   const failure = WRONG_TYPE.of({
-    expected: TYPE_WORDS[expected] ?? expected,
-    found: foundWord(value),
+    expected: TYPE_DESCRIPTIONS[expected] ?? expected,
+    found: describeValue(value),
   });
-  return at(failure, path);
+  return faultAt(failure, path);
 }
 
-function missing(path: TextPath): UnplacedFault {
-  return at(MISSING_FIELD.of({ field: String(path.at(-1) ?? 'text') }), path, true);
+function missingField(path: TextPath): UnlocatedFault {
+  return faultAt(MISSING_FIELD.of({ field: String(path.at(-1) ?? 'text') }), path, true);
 }
 
-function carriedFailure(issue: Issue): Failure | null {
+function attachedFailure(issue: Issue): Failure | null {
   if (issue.code !== 'custom') return null;
   const failure: unknown = issue.params?.failure;
   return failure === undefined ? null : (failure as Failure);
 }
 
-/** The faults that one issue stands for. */
-export function structureFaults(root: unknown, issue: Issue): UnplacedFault[] {
+/** Converts one zod issue to faults. An issue about unknown keys yields one fault per key. */
+export function structureFaults(root: unknown, issue: Issue): UnlocatedFault[] {
   const path = issue.path.filter((part) => typeof part !== 'symbol');
-  const carried = carriedFailure(issue);
-  if (carried !== null) {
-    return [valueAt(root, path) === undefined ? missing(path) : at(carried, path)];
+  const attached = attachedFailure(issue);
+  if (attached !== null) {
+    return [valueAt(root, path) === undefined ? missingField(path) : faultAt(attached, path)];
   }
   switch (issue.code) {
     case 'unrecognized_keys':
@@ -99,29 +99,32 @@
       return [tooSmall(root, path, issue)];
     default:
       return [
-        at(MALFORMED.of({ found: foundWord(valueAt(root, path)), expected: issue.message }), path),
+        faultAt(
+          MALFORMED.of({ found: describeValue(valueAt(root, path)), expected: issue.message }),
+          path,
+        ),
       ];
   }
 }
 
-function invalidValue(root: unknown, path: TextPath, allowed: readonly unknown[]): UnplacedFault {
+function invalidValue(root: unknown, path: TextPath, allowed: readonly unknown[]): UnlocatedFault {
   const value = valueAt(root, path);
-  if (value === undefined) return missing(path);
+  if (value === undefined) return missingField(path);
   const expected = `one of: ${allowed.map(quoted).join(', ')}`;
-  return at(MALFORMED.of({ found: foundWord(value), expected }), path);
+  return faultAt(MALFORMED.of({ found: describeValue(value), expected }), path);
 }
 
-function tooBig(root: unknown, path: TextPath, issue: z.core.$ZodIssueTooBig): UnplacedFault {
+function tooBig(root: unknown, path: TextPath, issue: z.core.$ZodIssueTooBig): UnlocatedFault {
   const maximum = Number(issue.maximum);
-  if (issue.origin === 'array') return at(TOO_MANY.of({ max: maximum }), path);
-  const found = foundWord(valueAt(root, path));
-  return at(OUT_OF_RANGE.of({ found, range: `at most ${String(maximum)}` }), path);
+  if (issue.origin === 'array') return faultAt(TOO_MANY.of({ max: maximum }), path);
+  const found = describeValue(valueAt(root, path));
+  return faultAt(OUT_OF_RANGE.of({ found, range: `at most ${String(maximum)}` }), path);
 }
 
-function tooSmall(root: unknown, path: TextPath, issue: z.core.$ZodIssueTooSmall): UnplacedFault {
+function tooSmall(root: unknown, path: TextPath, issue: z.core.$ZodIssueTooSmall): UnlocatedFault {
   const minimum = Number(issue.minimum);
-  if (issue.origin === 'array') return at(TOO_FEW.of({ min: minimum }), path);
-  const found = foundWord(valueAt(root, path));
-  const words = issue.inclusive === false ? 'more than' : 'at least';
-  return at(OUT_OF_RANGE.of({ found, range: `${words} ${String(minimum)}` }), path);
+  if (issue.origin === 'array') return faultAt(TOO_FEW.of({ min: minimum }), path);
+  const found = describeValue(valueAt(root, path));
+  const comparison = issue.inclusive === false ? 'more than' : 'at least';
+  return faultAt(OUT_OF_RANGE.of({ found, range: `${comparison} ${String(minimum)}` }), path);
 }
--- a/packages/config-text/src/core/names/names.ts
+++ b/packages/config-text/src/core/names/names.ts
@@ -4,7 +4,7 @@
  */
 import { findDependencyCycle } from '@cassiamast/coordination';
 import { MAX_TARGETS } from '../compile/limits.js';
-import { pathText, type UnplacedFault } from '../faults/fault.js';
+import { pathText, type UnlocatedFault } from '../faults/fault.js';
 import { DEPENDENCY_CYCLE, DUPLICATE, TOO_MANY, UNKNOWN_NAME } from '../faults/failures.js';
 import { nearestName } from '../faults/nearest.js';
 import { quoted } from '../quantities/quantity.js';
@@ -18,7 +18,7 @@
 } from './entries.js';
 
 /** All faults of names in the raw data. */
-export function nameFaults(raw: unknown): UnplacedFault[] {
+export function nameFaults(raw: unknown): UnlocatedFault[] {
   const root = rootEntry(raw);
   const services = mappingsIn(root, 'services');
   const workspaces = mappingsIn(root, 'workspaces');
@@ -49,7 +49,7 @@
   return targets.flatMap((target) => [...textOf(target, 'sidecar'), ...textOf(target, 'backend')]);
 }
 
-function serviceDuplicates(service: MappingEntry): UnplacedFault[] {
+function serviceDuplicates(service: MappingEntry): UnlocatedFault[] {
   const models = mappingsIn(service, 'models');
   const calls = mappingsIn(service, 'calls');
   return [
@@ -63,9 +63,9 @@
   ];
 }
 
-function duplicates(what: string, entries: readonly TextEntry[]): UnplacedFault[] {
+function duplicates(what: string, entries: readonly TextEntry[]): UnlocatedFault[] {
   const firsts = new Map<string, TextEntry>();
-  const faults: UnplacedFault[] = [];
+  const faults: UnlocatedFault[] = [];
   for (const entry of entries) {
     const first = firsts.get(entry.value);
     if (first === undefined) {
@@ -82,7 +82,7 @@
   what: string,
   entries: readonly TextEntry[],
   known: ReadonlySet<string>,
-): UnplacedFault[] {
+): UnlocatedFault[] {
   return entries
     .filter(({ value }) => !known.has(value))
     .map(({ value, path }) => {
@@ -92,7 +92,7 @@
     });
 }
 
-function unknownDependencies(services: readonly MappingEntry[]): UnplacedFault[] {
+function unknownDependencies(services: readonly MappingEntry[]): UnlocatedFault[] {
   const known = new Set(namesOf(services).map(({ value }) => value));
   return services.flatMap((service) => unknowns('service', textsIn(service, 'dependsOn'), known));
 }
@@ -100,7 +100,7 @@
 function unknownFailureDomains(
   root: MappingEntry,
   targets: readonly MappingEntry[],
-): UnplacedFault[] {
+): UnlocatedFault[] {
   // Where the list itself is missing, that one fault says it all.
   if (!Array.isArray(root.fields.failureDomains)) return [];
   const known = new Set(textsIn(root, 'failureDomains').map(({ value }) => value));
@@ -108,7 +108,7 @@
   return unknowns('failure domain', named, known);
 }
 
-function cycles(services: readonly MappingEntry[]): UnplacedFault[] {
+function cycles(services: readonly MappingEntry[]): UnlocatedFault[] {
   const graph = services.flatMap((service) =>
     textOf(service, 'name').map(({ value }) => ({
       name: value,
@@ -123,7 +123,7 @@
   return [{ failure, path: [...path, 'dependsOn'], atKey: true }];
 }
 
-function targetCount(targets: readonly MappingEntry[]): UnplacedFault[] {
+function targetCount(targets: readonly MappingEntry[]): UnlocatedFault[] {
   if (targets.length <= MAX_TARGETS) return [];
   return [{ failure: TOO_MANY.of({ max: MAX_TARGETS }), path: ['services'], atKey: true }];
 }
--- a/packages/config-text/src/core/names/service-rules.ts
+++ b/packages/config-text/src/core/names/service-rules.ts
@@ -3,9 +3,9 @@
  * whether its floor can be met.
  */
 import { TargetKind } from '@cassiamast/coordination';
-import type { UnplacedFault } from '../faults/fault.js';
+import type { UnlocatedFault } from '../faults/fault.js';
 import { DOES_NOT_APPLY, FLOOR_TOO_HIGH, TOO_FEW } from '../faults/failures.js';
-import type { ReadService } from '../schema/schema.js';
+import type { ValidatedService } from '../schema/schema.js';
 
 /** Share of a service's targets that planned changes leave serving, where the text names no floor. */
 const DEFAULT_FLOOR_RATIO = 0.75;
@@ -14,18 +14,18 @@
 const FIELDS_OF_PLAIN_SERVICES = ['calls'] as const;
 
 /** Targets of a service that are not withdrawn. */
-export function servingTargets(service: ReadService): number {
+export function servingTargets(service: ValidatedService): number {
   return service.targets.filter(({ withdrawn }) => !withdrawn).length;
 }
 
 /** The floor where the text names none: three quarters, and at least one of any that serve. */
-export function defaultFloor(service: ReadService): number {
+export function defaultFloor(service: ValidatedService): number {
   const serving = servingTargets(service);
   return Math.min(serving, Math.max(1, Math.floor(serving * DEFAULT_FLOOR_RATIO)));
 }
 
 /** The faults of one service at its place in the list. */
-export function serviceFaults(service: ReadService, index: number): UnplacedFault[] {
+export function serviceFaults(service: ValidatedService, index: number): UnlocatedFault[] {
   const path = ['services', index];
   return [
     ...fieldsThatDoNotApply(service, path),
@@ -36,7 +36,7 @@
 
 type ServicePath = (string | number)[];
 
-function fieldsThatDoNotApply(service: ReadService, path: ServicePath): UnplacedFault[] {
+function fieldsThatDoNotApply(service: ValidatedService, path: ServicePath): UnlocatedFault[] {
   const isEngine = service.kind === TargetKind.ModelEngine;
   const fields = isEngine ? FIELDS_OF_PLAIN_SERVICES : FIELDS_OF_ENGINES;
   return fields
@@ -48,12 +48,12 @@
     }));
 }
 
-function modelsMissing(service: ReadService, path: ServicePath): UnplacedFault[] {
+function modelsMissing(service: ValidatedService, path: ServicePath): UnlocatedFault[] {
   if (service.kind !== TargetKind.ModelEngine || (service.models?.length ?? 0) > 0) return [];
   return [{ failure: TOO_FEW.of({ min: 1 }), path: [...path, 'models'], atKey: true }];
 }
 
-function floorTooHigh(service: ReadService, path: ServicePath): UnplacedFault[] {
+function floorTooHigh(service: ValidatedService, path: ServicePath): UnlocatedFault[] {
   const serving = servingTargets(service);
   if (service.floor === undefined || service.floor <= serving) return [];
   const data = { floorTargets: service.floor, servingTargets: serving };
--- a/packages/config-text/src/core/schema/schema.ts
+++ b/packages/config-text/src/core/schema/schema.ts
@@ -187,8 +187,8 @@
 });
 
 /** The text as read: units resolved, defaults filled in. */
-export type ReadText = z.output<typeof textSchema>;
+export type ValidatedText = z.output<typeof textSchema>;
 /** One service as read. */
-export type ReadService = ReadText['services'][number];
+export type ValidatedService = ValidatedText['services'][number];
 /** One workspace as read. */
-export type ReadWorkspace = ReadText['workspaces'][number];
+export type ValidatedWorkspace = ValidatedText['workspaces'][number];
