--- a/packages/config-text/src/core/names/entries.ts
+++ b/packages/config-text/src/core/names/entries.ts
@@ -1,22 +1,22 @@
 /**
- * A lenient reading of the raw data: which names, addresses and digests stand where. It skips
- * whatever is malformed, so that faults of names are reported together with faults of form.
+ * Extracts names, addresses and digests with their paths from unvalidated data. Malformed values are
+ * skipped, so name faults can be reported together with structural faults.
  */
 import type { TextPath } from '../faults/fault.js';
 
-/** A text value and where it stands. */
+/** A string value and its path. */
 export interface TextEntry {
   readonly value: string;
   readonly path: TextPath;
 }
 
-/** A mapping of the raw data and where it stands. */
+/** A mapping in the raw data and its path. */
 export interface MappingEntry {
   readonly fields: Readonly<Record<string, unknown>>;
   readonly path: TextPath;
 }
 
-/** The mapping itself, or one without fields for anything else. */
+/** Returns the value if it is a mapping, otherwise an empty mapping. */
 function asMapping(value: unknown): Readonly<Record<string, unknown>> {
   const isMapping = typeof value === 'object' && value !== null && !Array.isArray(value);
   return isMapping ? (value as Record<string, unknown>) : {};
@@ -26,12 +26,12 @@
   return Object.hasOwn(fields, name) ? fields[name] : undefined;
 }
 
-/** The root of the raw data. */
+/** Returns the root mapping of the raw data. */
 export function rootEntry(raw: unknown): MappingEntry {
   return { fields: asMapping(raw), path: [] };
 }
 
-/** The mappings in a list field. */
+/** Returns one entry for each item of a list field; an item that is no mapping has no fields. */
 export function mappingsIn(parent: MappingEntry, field: string): MappingEntry[] {
   const list = ownField(parent.fields, field);
   if (!Array.isArray(list)) return [];
@@ -41,7 +41,7 @@
   }));
 }
 
-/** The texts in a list field. */
+/** Returns the strings in a list field. */
 export function textsIn(parent: MappingEntry, field: string): TextEntry[] {
   const list = ownField(parent.fields, field);
   if (!Array.isArray(list)) return [];
@@ -50,7 +50,7 @@
   );
 }
 
-/** The text in a field, as a list of one or none. */
+/** Returns the string in a field as a list of one entry, or an empty list if there is none. */
 export function textOf(parent: MappingEntry, field: string): TextEntry[] {
   const value = ownField(parent.fields, field);
   return typeof value === 'string' ? [{ value, path: [...parent.path, field] }] : [];
--- a/packages/config-text/src/core/names/names.ts
+++ b/packages/config-text/src/core/names/names.ts
@@ -1,6 +1,6 @@
 /**
- * Faults of names over the whole text: what is given twice, what is named but not declared, and
- * services that depend on each other in a circle.
+ * Checks names across the whole text: duplicates, references to undeclared names and dependency
+ * cycles between services.
  */
 import { findDependencyCycle } from '@cassiamast/coordination';
 import { MAX_TARGETS } from '../compile/limits.js';
@@ -17,7 +17,7 @@
   type TextEntry,
 } from './entries.js';
 
-/** All faults of names in the raw data. */
+/** Returns all name faults in the raw data, and one fault if there are too many targets. */
 export function nameFaults(raw: unknown): UnlocatedFault[] {
   const root = rootEntry(raw);
   const services = mappingsIn(root, 'services');
@@ -36,8 +36,8 @@
     ...services.flatMap(serviceDuplicates),
     ...unknownDependencies(services),
     ...unknownFailureDomains(root, targets),
-    ...cycles(services),
-    ...targetCount(targets),
+    ...dependencyCycles(services),
+    ...tooManyTargets(targets),
   ];
 }
 
@@ -64,12 +64,12 @@
 }
 
 function duplicates(what: string, entries: readonly TextEntry[]): UnlocatedFault[] {
-  const firsts = new Map<string, TextEntry>();
+  const firstByValue = new Map<string, TextEntry>();
   const faults: UnlocatedFault[] = [];
   for (const entry of entries) {
-    const first = firsts.get(entry.value);
+    const first = firstByValue.get(entry.value);
     if (first === undefined) {
-      firsts.set(entry.value, entry);
+      firstByValue.set(entry.value, entry);
       continue;
     }
     const data = { what, value: quoted(entry.value), first: pathText(first.path) };
@@ -78,7 +78,7 @@
   return faults;
 }
 
-function unknowns(
+function unknownNames(
   what: string,
   entries: readonly TextEntry[],
   known: ReadonlySet<string>,
@@ -94,21 +94,23 @@
 
 function unknownDependencies(services: readonly MappingEntry[]): UnlocatedFault[] {
   const known = new Set(namesOf(services).map(({ value }) => value));
-  return services.flatMap((service) => unknowns('service', textsIn(service, 'dependsOn'), known));
+  return services.flatMap((service) =>
+    unknownNames('service', textsIn(service, 'dependsOn'), known),
+  );
 }
 
 function unknownFailureDomains(
   root: MappingEntry,
   targets: readonly MappingEntry[],
 ): UnlocatedFault[] {
-  // Where the list itself is missing, that one fault says it all.
+  // A missing list is reported once as a missing field; one fault per target would add nothing.
   if (!Array.isArray(root.fields.failureDomains)) return [];
   const known = new Set(textsIn(root, 'failureDomains').map(({ value }) => value));
-  const named = targets.flatMap((target) => textOf(target, 'failureDomain'));
-  return unknowns('failure domain', named, known);
+  const references = targets.flatMap((target) => textOf(target, 'failureDomain'));
+  return unknownNames('failure domain', references, known);
 }
 
-function cycles(services: readonly MappingEntry[]): UnlocatedFault[] {
+function dependencyCycles(services: readonly MappingEntry[]): UnlocatedFault[] {
   const graph = services.flatMap((service) =>
     textOf(service, 'name').map(({ value }) => ({
       name: value,
@@ -123,7 +125,7 @@
   return [{ failure, path: [...path, 'dependsOn'], atKey: true }];
 }
 
-function targetCount(targets: readonly MappingEntry[]): UnlocatedFault[] {
+function tooManyTargets(targets: readonly MappingEntry[]): UnlocatedFault[] {
   if (targets.length <= MAX_TARGETS) return [];
   return [{ failure: TOO_MANY.of({ max: MAX_TARGETS }), path: ['services'], atKey: true }];
 }
--- a/packages/config-text/src/core/names/service-rules.ts
+++ b/packages/config-text/src/core/names/service-rules.ts
@@ -1,5 +1,5 @@
 /**
- * Rules that hold within one service: which fields apply to its kind, what its kind needs, and
+ * Checks rules within one service: which fields apply to its kind, which fields its kind requires and
  * whether its floor can be met.
  */
 import { TargetKind } from '@cassiamast/coordination';
@@ -7,38 +7,41 @@
 import { DOES_NOT_APPLY, FLOOR_TOO_HIGH, TOO_FEW } from '../faults/failures.js';
 import type { ValidatedService } from '../schema/schema.js';
 
-/** Share of a service's targets that planned changes leave serving, where the text names no floor. */
+/** Default share of a service's targets that must keep serving during planned changes. */
 const DEFAULT_FLOOR_RATIO = 0.75;
 
-const FIELDS_OF_ENGINES = ['models', 'rolesMayChange', 'checksFencing'] as const;
-const FIELDS_OF_PLAIN_SERVICES = ['calls'] as const;
+const ENGINE_ONLY_FIELDS = ['models', 'rolesMayChange', 'checksFencing'] as const;
+const PLAIN_SERVICE_ONLY_FIELDS = ['calls'] as const;
 
-/** Targets of a service that are not withdrawn. */
-export function servingTargets(service: ValidatedService): number {
+/** Counts the targets of a service that are not withdrawn. */
+export function countServingTargets(service: ValidatedService): number {
   return service.targets.filter(({ withdrawn }) => !withdrawn).length;
 }
 
-/** The floor where the text names none: three quarters, and at least one of any that serve. */
+/**
+ * Returns the floor for a service without one: three quarters of its serving targets, rounded down,
+ * but at least one if any target serves.
+ */
 export function defaultFloor(service: ValidatedService): number {
-  const serving = servingTargets(service);
+  const serving = countServingTargets(service);
   return Math.min(serving, Math.max(1, Math.floor(serving * DEFAULT_FLOOR_RATIO)));
 }
 
-/** The faults of one service at its place in the list. */
+/** Returns the rule faults of the service at `index` in the list of services. */
 export function serviceFaults(service: ValidatedService, index: number): UnlocatedFault[] {
   const path = ['services', index];
   return [
-    ...fieldsThatDoNotApply(service, path),
-    ...modelsMissing(service, path),
+    ...inapplicableFields(service, path),
+    ...missingModels(service, path),
     ...floorTooHigh(service, path),
   ];
 }
 
 type ServicePath = (string | number)[];
 
-function fieldsThatDoNotApply(service: ValidatedService, path: ServicePath): UnlocatedFault[] {
+function inapplicableFields(service: ValidatedService, path: ServicePath): UnlocatedFault[] {
   const isEngine = service.kind === TargetKind.ModelEngine;
-  const fields = isEngine ? FIELDS_OF_PLAIN_SERVICES : FIELDS_OF_ENGINES;
+  const fields = isEngine ? PLAIN_SERVICE_ONLY_FIELDS : ENGINE_ONLY_FIELDS;
   return fields
     .filter((field) => service[field] !== undefined)
     .map((field) => ({
@@ -48,13 +51,13 @@
     }));
 }
 
-function modelsMissing(service: ValidatedService, path: ServicePath): UnlocatedFault[] {
+function missingModels(service: ValidatedService, path: ServicePath): UnlocatedFault[] {
   if (service.kind !== TargetKind.ModelEngine || (service.models?.length ?? 0) > 0) return [];
   return [{ failure: TOO_FEW.of({ min: 1 }), path: [...path, 'models'], atKey: true }];
 }
 
 function floorTooHigh(service: ValidatedService, path: ServicePath): UnlocatedFault[] {
-  const serving = servingTargets(service);
+  const serving = countServingTargets(service);
   if (service.floor === undefined || service.floor <= serving) return [];
   const data = { floorTargets: service.floor, servingTargets: serving };
   return [{ failure: FLOOR_TOO_HIGH.of(data), path: [...path, 'floor'], atKey: false }];
--- a/packages/config-text/src/core/quantities/quantity.ts
+++ b/packages/config-text/src/core/quantities/quantity.ts
@@ -1,54 +1,54 @@
 /**
- * Numbers with mandatory units, as operators write them: "360 ms", "10 min", "40 GB", "5 %". A
- * dimension lists its units with the factor to the unit that the compiled field is kept in.
+ * Parses and formats numbers with mandatory units, such as "360 ms", "10 min", "40 GB" or "5 %". Each
+ * dimension lists its units with their factors to the base unit, which compiled fields use.
  */
 import { NOT_A_QUANTITY, OUT_OF_RANGE, UNIT_MISSING, WRONG_UNIT } from '../faults/failures.js';
 import { err, ok, type Result } from 'neverthrow';
 import type { Failure } from '@cassiamast/coordination';
 
-/** A kind of quantity and the units it may be written in. */
+/** A kind of quantity and its allowed units. */
 export interface Dimension {
   readonly name: string;
-  /** Factor of each unit to the kept unit; the first is the smallest. */
+  /** Factor from each unit to the base unit, smallest unit first. */
   readonly units: Readonly<Record<string, number>>;
-  /** Whether only whole numbers of the kept unit make sense. */
+  /** Whether amounts are rounded to whole numbers of the base unit. */
   readonly whole: boolean;
 }
 
-/** Kept in milliseconds. */
+/** Base unit: milliseconds. */
 export const DURATION: Dimension = {
   name: 'duration',
   units: { ms: 1, s: 1_000, min: 60_000, h: 3_600_000 },
   whole: true,
 };
 
-/** Kept in bytes; decimal multiples. */
+/** Base unit: bytes; multiples are decimal. */
 export const SIZE_BYTES: Dimension = {
   name: 'size',
   units: { B: 1, KB: 1e3, MB: 1e6, GB: 1e9 },
   whole: true,
 };
 
-/** Kept in megabytes; decimal multiples. */
+/** Base unit: megabytes; multiples are decimal. */
 export const SIZE_MB: Dimension = {
   name: 'size',
   units: { MB: 1, GB: 1e3, TB: 1e6 },
   whole: false,
 };
 
-/** Kept in tokens. */
+/** Base unit: tokens. */
 export const TOKENS: Dimension = { name: 'tokens', units: { tokens: 1 }, whole: true };
 
-/** Kept in tokens a second. */
+/** Base unit: tokens per second. */
 export const TOKEN_RATE: Dimension = { name: 'rate', units: { 'tokens/s': 1 }, whole: false };
 
-/** Kept in targets. */
+/** Base unit: targets. */
 export const TARGET_COUNT: Dimension = { name: 'count', units: { targets: 1 }, whole: true };
 
-/** Kept as a ratio from 0 to 1. */
+/** Base unit: a ratio from 0 to 1. */
 export const RATIO: Dimension = { name: 'ratio', units: { '%': 0.01 }, whole: false };
 
-/** A quantity's bounds, both allowed, as operators write them. */
+/** Inclusive limits of a quantity, written with units. */
 export interface QuantityRange {
   readonly min: string;
   readonly max: string;
@@ -56,32 +56,32 @@
 
 const QUANTITY_PATTERN = /^(\d{1,15}(?:\.\d{1,9})?) ?(.*)$/;
 
-/** Longest offending value quoted in a message. */
+/** Longer offending values are truncated in messages. */
 const MAX_QUOTED_LENGTH = 80;
 
-/** Shortens a value for a message; any value may come from the text. */
+/** Converts any value from the text to a short string that is safe to print in a message. */
 export function quoted(value: unknown): string {
-  const written = typeof value === 'string' ? value : (JSON.stringify(value) ?? 'nothing');
-  // Control characters would reach the operator's terminal.
-  const text = written.slice(0, MAX_QUOTED_LENGTH + 1).replace(/\p{C}/gu, '�');
+  const fullText = typeof value === 'string' ? value : (JSON.stringify(value) ?? 'nothing');
+  // Control characters could change the state of the operator's terminal.
+  const text = fullText.slice(0, MAX_QUOTED_LENGTH + 1).replace(/\p{C}/gu, '�');
   return text.length <= MAX_QUOTED_LENGTH ? text : `${text.slice(0, MAX_QUOTED_LENGTH)}…`;
 }
 
-/** Reads a quantity of the dimension into its kept unit, or says what is wrong with it. */
+/** Parses a quantity and converts it to the base unit, or returns the failure to report. */
 export function parseQuantity(
   value: unknown,
   dimension: Dimension,
   range: QuantityRange,
 ): Result<number, Failure> {
-  return readQuantity(value, dimension).andThen((amount) => {
-    const min = boundOf(range.min, dimension);
-    const max = boundOf(range.max, dimension);
+  return parseAmount(value, dimension).andThen((amount) => {
+    const min = parseLimit(range.min, dimension);
+    const max = parseLimit(range.max, dimension);
     if (amount >= min && amount <= max) return ok(amount);
     return err(OUT_OF_RANGE.of({ found: quoted(value), range: `${range.min} to ${range.max}` }));
   });
 }
 
-function readQuantity(value: unknown, dimension: Dimension): Result<number, Failure> {
+function parseAmount(value: unknown, dimension: Dimension): Result<number, Failure> {
   const units = Object.keys(dimension.units);
   if (typeof value === 'number') return err(UNIT_MISSING.of({ found: quoted(value), units }));
   if (typeof value !== 'string') return err(NOT_A_QUANTITY.of({ found: quoted(value), units }));
@@ -93,20 +93,23 @@
   if (factor === undefined) {
     return err(WRONG_UNIT.of({ found: quoted(value), unit: quoted(unit), units }));
   }
-  return ok(scaled(Number(digits), factor, dimension));
+  return ok(toBaseUnit(Number(digits), factor, dimension));
 }
 
-function scaled(amount: number, factor: number, dimension: Dimension): number {
+function toBaseUnit(amount: number, factor: number, dimension: Dimension): number {
   const product = amount * factor;
-  // 0.07 * 100 and its like must not leave binary dust in the compiled configuration.
+  // Removes floating-point errors, as in 0.07 * 100, from the compiled configuration.
   return dimension.whole ? Math.round(product) : Number(product.toPrecision(12));
 }
 
-function boundOf(bound: string, dimension: Dimension): number {
-  return readQuantity(bound, dimension).unwrapOr(Number.NaN);
+function parseLimit(limit: string, dimension: Dimension): number {
+  return parseAmount(limit, dimension).unwrapOr(Number.NaN);
 }
 
-/** Writes an amount of the dimension's kept unit in the largest unit that keeps it whole. */
+/**
+ * Formats an amount in the largest unit that yields a whole number. If there is none, uses the
+ * smallest unit.
+ */
 export function formatQuantity(amount: number, dimension: Dimension): string {
   const units = Object.entries(dimension.units).reverse();
   for (const [unit, factor] of units) {
@@ -117,7 +120,7 @@
   return `${String(Number((amount / factor).toPrecision(12)))} ${smallest}`;
 }
 
-/** The regular expression, for editors, of the quantities that the dimension accepts. */
+/** Returns the regular expression that editors use to validate quantities of the dimension. */
 export function quantityPattern(dimension: Dimension): string {
   const units = Object.keys(dimension.units).join('|');
   return `^\\d{1,15}(\\.\\d{1,9})? ?(${units})$`;
