--- a/packages/config-text/src/core/compile/parse.ts
+++ b/packages/config-text/src/core/compile/parse.ts
@@ -1,6 +1,6 @@
 /**
- * Parses untrusted YAML into plain data with limits on size, nesting and token count. Rejects aliases
- * and multiple documents, and never throws.
+ * Parses untrusted YAML into plain data with limits on size, nesting and token count. Rejects
+ * aliases and multiple documents, and never throws.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { isAlias, isScalar, Lexer, LineCounter, parseDocument, visit, type Document } from 'yaml';
--- a/packages/config-text/src/core/diff/diff.ts
+++ b/packages/config-text/src/core/diff/diff.ts
@@ -1,6 +1,6 @@
 /**
- * Compares two configurations: what an edit would add, remove, change, withdraw or return. Order of
- * lists does not count.
+ * Compares two configurations and lists what an edit adds, removes, changes, withdraws or returns
+ * to service. The order of list entries is ignored.
  */
 import type { Configuration, ServiceSpec, TargetSpec } from '@cassiamast/coordination';
 import {
@@ -14,22 +14,22 @@
 } from './fields.js';
 import { DifferenceChange, DifferenceSubject, type Difference } from './difference.js';
 
-/** Which subject is compared and where it stands. */
-interface Place {
+/** The kind of subject that is compared and the service that contains it, if any. */
+interface SubjectContext {
   readonly subject: DifferenceSubject;
   readonly service: string;
 }
 
 const NO_FIELD = { field: '', before: '', after: '' };
 
-/** The differences that lead from one configuration to another; none when they do the same. */
+/** Returns the differences between two configurations, or an empty list if they are equivalent. */
 export function diffConfigurations(before: Configuration, after: Configuration): Difference[] {
-  const workspaces: Place = { subject: DifferenceSubject.Workspace, service: '' };
-  const limits: Place = { subject: DifferenceSubject.Limits, service: '' };
+  const workspaces: SubjectContext = { subject: DifferenceSubject.Workspace, service: '' };
+  const limits: SubjectContext = { subject: DifferenceSubject.Limits, service: '' };
   return [
     ...diffServices(before.services, after.services),
-    ...diffNamed(workspaces, before.workspaces, after.workspaces, nameOf, (was, is) =>
-      diffFields(workspaces, is.name, WORKSPACE_FIELDS, was, is),
+    ...diffByKey(workspaces, before.workspaces, after.workspaces, nameOf, (previous, current) =>
+      diffFields(workspaces, current.name, WORKSPACE_FIELDS, previous, current),
     ),
     ...diffFields(limits, '', LIMITS_FIELDS, before.limits, after.limits),
   ];
@@ -40,77 +40,85 @@
 }
 
 function diffServices(before: readonly ServiceSpec[], after: readonly ServiceSpec[]): Difference[] {
-  const place: Place = { subject: DifferenceSubject.Service, service: '' };
-  return diffNamed(place, before, after, nameOf, (was, is) => [
-    ...diffFields(place, is.name, SERVICE_FIELDS, was, is),
-    ...diffInside(was, is),
+  const context: SubjectContext = { subject: DifferenceSubject.Service, service: '' };
+  return diffByKey(context, before, after, nameOf, (previous, current) => [
+    ...diffFields(context, current.name, SERVICE_FIELDS, previous, current),
+    ...diffServiceParts(previous, current),
   ]);
 }
 
-function diffInside(was: ServiceSpec, is: ServiceSpec): Difference[] {
-  const models: Place = { subject: DifferenceSubject.Model, service: is.name };
-  const calls: Place = { subject: DifferenceSubject.Call, service: is.name };
-  const targets: Place = { subject: DifferenceSubject.Target, service: is.name };
+function diffServiceParts(previous: ServiceSpec, current: ServiceSpec): Difference[] {
+  const models: SubjectContext = { subject: DifferenceSubject.Model, service: current.name };
+  const calls: SubjectContext = { subject: DifferenceSubject.Call, service: current.name };
+  const targets: SubjectContext = { subject: DifferenceSubject.Target, service: current.name };
   return [
-    ...diffNamed(models, was.models, is.models, nameOf, (a, b) =>
+    ...diffByKey(models, previous.models, current.models, nameOf, (a, b) =>
       diffFields(models, b.name, MODEL_FIELDS, a, b),
     ),
-    ...diffNamed(
+    ...diffByKey(
       calls,
-      was.calls,
-      is.calls,
+      previous.calls,
+      current.calls,
       ({ pathPrefix }) => pathPrefix,
       (a, b) => diffFields(calls, b.pathPrefix, CALL_FIELDS, a, b),
     ),
-    ...diffNamed(targets, was.targets, is.targets, nameOf, (a, b) => [
+    ...diffByKey(targets, previous.targets, current.targets, nameOf, (a, b) => [
       ...diffWithdrawal(targets, a, b),
       ...diffFields(targets, b.name, TARGET_FIELDS, a, b),
     ]),
   ];
 }
 
-function diffWithdrawal(place: Place, was: TargetSpec, is: TargetSpec): Difference[] {
-  if (was.withdrawn === is.withdrawn) return [];
-  const change = is.withdrawn ? DifferenceChange.Withdrawn : DifferenceChange.Returned;
-  return [{ ...place, ...NO_FIELD, change, name: is.name }];
+function diffWithdrawal(
+  context: SubjectContext,
+  previous: TargetSpec,
+  current: TargetSpec,
+): Difference[] {
+  if (previous.withdrawn === current.withdrawn) return [];
+  const change = current.withdrawn ? DifferenceChange.Withdrawn : DifferenceChange.Returned;
+  return [{ ...context, ...NO_FIELD, change, name: current.name }];
 }
 
-function diffNamed<Spec>(
-  place: Place,
+function diffByKey<Spec>(
+  context: SubjectContext,
   before: readonly Spec[],
   after: readonly Spec[],
   keyOf: (spec: Spec) => string,
-  diffBoth: (was: Spec, is: Spec) => Difference[],
+  diffMatching: (previous: Spec, current: Spec) => Difference[],
 ): Difference[] {
-  const were = new Map(before.map((spec) => [keyOf(spec), spec]));
-  const are = new Set(after.map(keyOf));
+  const beforeByKey = new Map(before.map((spec) => [keyOf(spec), spec]));
+  const afterKeys = new Set(after.map(keyOf));
   const removed = before
-    .filter((spec) => !are.has(keyOf(spec)))
-    .map((spec) => wholeDifference(place, DifferenceChange.Removed, keyOf(spec)));
-  const addedOrChanged = after.flatMap((is) => {
-    const was = were.get(keyOf(is));
-    return was === undefined
-      ? [wholeDifference(place, DifferenceChange.Added, keyOf(is))]
-      : diffBoth(was, is);
+    .filter((spec) => !afterKeys.has(keyOf(spec)))
+    .map((spec) => subjectDifference(context, DifferenceChange.Removed, keyOf(spec)));
+  const addedOrChanged = after.flatMap((current) => {
+    const previous = beforeByKey.get(keyOf(current));
+    return previous === undefined
+      ? [subjectDifference(context, DifferenceChange.Added, keyOf(current))]
+      : diffMatching(previous, current);
   });
   return [...removed, ...addedOrChanged];
 }
 
-function wholeDifference(place: Place, change: DifferenceChange, name: string): Difference {
-  return { ...place, ...NO_FIELD, change, name };
+function subjectDifference(
+  context: SubjectContext,
+  change: DifferenceChange,
+  name: string,
+): Difference {
+  return { ...context, ...NO_FIELD, change, name };
 }
 
 function diffFields<Spec>(
-  place: Place,
+  context: SubjectContext,
   name: string,
   fields: readonly ComparedField<Spec>[],
-  was: Spec,
-  is: Spec,
+  previous: Spec,
+  current: Spec,
 ): Difference[] {
   return fields.flatMap(({ field, valueOf }) => {
-    const before = valueOf(was);
-    const after = valueOf(is);
+    const before = valueOf(previous);
+    const after = valueOf(current);
     if (before === after) return [];
-    return [{ ...place, change: DifferenceChange.Changed, name, field, before, after }];
+    return [{ ...context, change: DifferenceChange.Changed, name, field, before, after }];
   });
 }
--- a/packages/config-text/src/core/diff/difference.ts
+++ b/packages/config-text/src/core/diff/difference.ts
@@ -1,8 +1,8 @@
 /**
- * One difference between two configurations, in the words of the text.
+ * Describes one difference between two configurations, using the field names and units of the text.
  */
 
-/** What part of the configuration differs. */
+/** The part of the configuration that differs. */
 export enum DifferenceSubject {
   Service = 'service',
   Target = 'target',
@@ -12,33 +12,33 @@
   Limits = 'limits',
 }
 
-/** How it differs. */
+/** The kind of difference. */
 export enum DifferenceChange {
   Added = 'added',
   Removed = 'removed',
   Changed = 'changed',
-  /** A target is taken out of service by the operator. */
+  /** The operator took the target out of service. */
   Withdrawn = 'withdrawn',
-  /** A withdrawn target takes work again. */
+  /** A withdrawn target accepts work again. */
   Returned = 'returned',
 }
 
-/** One difference; plain data. */
+/** One difference; plain data that can be serialized. */
 export interface Difference {
   readonly subject: DifferenceSubject;
   readonly change: DifferenceChange;
-  /** The service around a target, model or call; empty for the other subjects. */
+  /** The service that contains the target, model or call; empty for other subjects. */
   readonly service: string;
-  /** Name of the subject; empty for the limits. */
+  /** Name of the subject; empty for limits. */
   readonly name: string;
-  /** The field that changed; empty for a whole subject. */
+  /** The changed field; empty if the subject itself was added, removed, withdrawn or returned. */
   readonly field: string;
-  /** The field's values as operators write them; empty for a whole subject. */
+  /** The field's values as written in the text; empty if `field` is empty. */
   readonly before: string;
   readonly after: string;
 }
 
-/** The difference as one line for a person. */
+/** Formats a difference as one line for operators. */
 export function differenceText(difference: Difference): string {
   const { subject, change, service, name, field, before, after } = difference;
   const where = service === '' ? '' : ` of ${service}`;
--- a/packages/config-text/src/core/diff/fields.ts
+++ b/packages/config-text/src/core/diff/fields.ts
@@ -1,6 +1,6 @@
 /**
- * The fields that are compared for each subject: how the text calls them and how it writes their
- * values.
+ * Lists the fields that are compared for each subject, with their names and value formats in the
+ * text.
  */
 import type {
   Address,
@@ -23,7 +23,7 @@
   type Dimension,
 } from '../quantities/quantity.js';
 
-/** A field of a subject: its name in the text and its value as the text writes it. */
+/** A compared field: its name in the text and its value formatted as in the text. */
 export interface ComparedField<Spec> {
   readonly field: string;
   readonly valueOf: (spec: Spec) => string;
@@ -67,7 +67,7 @@
   quantity('goals.interToken', DURATION, ({ goals }) => goals.interTokenMs),
 ];
 
-/** All but `withdrawn`, which is a change of its own kind. */
+/** Excludes `withdrawn`, which is reported as a separate kind of change. */
 export const TARGET_FIELDS: readonly ComparedField<TargetSpec>[] = [
   plain('failureDomain', ({ failureDomain }) => failureDomain),
   plain('sidecar', ({ sidecar }) => addressText(sidecar)),
--- a/packages/config-text/src/core/faults/place.ts
+++ b/packages/config-text/src/core/faults/place.ts
@@ -33,7 +33,9 @@
   return null;
 }
 
-/** Returns the offset of the value or its key, or that of the nearest enclosing value that exists. */
+/**
+ * Returns the offset of the value or its key, or that of the nearest enclosing value that exists.
+ */
 function offsetOf(document: Document.Parsed, path: TextPath, atKey: boolean): number {
   let node: Node | null = document.contents;
   let offset = node?.range?.[0] ?? 0;
--- a/packages/config-text/src/core/names/entries.ts
+++ b/packages/config-text/src/core/names/entries.ts
@@ -1,6 +1,6 @@
 /**
- * Extracts names, addresses and digests with their paths from unvalidated data. Malformed values are
- * skipped, so name faults can be reported together with structural faults.
+ * Extracts names, addresses and digests with their paths from unvalidated data. Malformed values
+ * are skipped, so name faults can be reported together with structural faults.
  */
 import type { TextPath } from '../faults/fault.js';
 
@@ -31,7 +31,7 @@
   return { fields: asMapping(raw), path: [] };
 }
 
-/** Returns one entry for each item of a list field; an item that is no mapping has no fields. */
+/** Returns one entry for each item of a list field; an item that is not a mapping has no fields. */
 export function mappingsIn(parent: MappingEntry, field: string): MappingEntry[] {
   const list = ownField(parent.fields, field);
   if (!Array.isArray(list)) return [];
--- a/packages/config-text/src/core/names/service-rules.ts
+++ b/packages/config-text/src/core/names/service-rules.ts
@@ -1,6 +1,6 @@
 /**
- * Checks rules within one service: which fields apply to its kind, which fields its kind requires and
- * whether its floor can be met.
+ * Checks rules within one service: which fields apply to its kind, which fields its kind requires
+ * and whether its floor can be met.
  */
 import { TargetKind } from '@cassiamast/coordination';
 import type { UnlocatedFault } from '../faults/fault.js';
--- a/packages/config-text/src/core/quantities/quantity.ts
+++ b/packages/config-text/src/core/quantities/quantity.ts
@@ -1,6 +1,6 @@
 /**
- * Parses and formats numbers with mandatory units, such as "360 ms", "10 min", "40 GB" or "5 %". Each
- * dimension lists its units with their factors to the base unit, which compiled fields use.
+ * Parses and formats numbers with mandatory units, such as "360 ms", "10 min", "40 GB" or "5 %".
+ * Each dimension lists its units with their factors to the base unit, which compiled fields use.
  */
 import { NOT_A_QUANTITY, OUT_OF_RANGE, UNIT_MISSING, WRONG_UNIT } from '../faults/failures.js';
 import { err, ok, type Result } from 'neverthrow';
--- a/packages/config-text/src/core/schema/fields.ts
+++ b/packages/config-text/src/core/schema/fields.ts
@@ -1,6 +1,6 @@
 /**
- * The building blocks of the text's schema: names, addresses, digests and quantities. Each reports
- * its own typed failure, carried through zod in an issue's `params`.
+ * Field types used by the text's schema: names, addresses, digests and quantities. Each attaches a
+ * typed failure to the `params` of its zod issues.
  */
 import { isIP } from 'node:net';
 import type { Address, Failure } from '@cassiamast/coordination';
@@ -15,7 +15,7 @@
   type QuantityRange,
 } from '../quantities/quantity.js';
 
-/** What a building block puts into a zod issue's `params`. */
+/** The `params` of a zod issue that a field type reports. */
 export interface FaultParams {
   readonly failure: Failure;
 }
@@ -30,16 +30,16 @@
 const MAX_MODEL_LENGTH = 128;
 const MAX_PATH_LENGTH = 256;
 
-type Custom = (value: string) => Failure | null;
+type TextCheck = (value: string) => Failure | null;
 
-function checkedText(check: Custom) {
+function checkedText(check: TextCheck) {
   return z.string().superRefine((value, context) => {
     const failure = check(value);
     if (failure !== null) context.addIssue({ code: 'custom', params: { failure } });
   });
 }
 
-function matching(pattern: RegExp, maxLength: number, expected: string): Custom {
+function matching(pattern: RegExp, maxLength: number, expected: string): TextCheck {
   return (value) =>
     value.length <= maxLength && pattern.test(value)
       ? null
@@ -55,7 +55,7 @@
   ),
 ).meta({ pattern: NAME_PATTERN.source, maxLength: MAX_NAME_LENGTH });
 
-/** The name of a model or adapter, as callers give it. */
+/** The name of a model or adapter, as used in requests. */
 export const modelField = checkedText(
   matching(
     MODEL_PATTERN,
@@ -69,14 +69,14 @@
   matching(VERSION_PATTERN, MAX_NAME_LENGTH, 'a version, such as "2026-11"; put numbers in quotes'),
 ).meta({ pattern: VERSION_PATTERN.source, maxLength: MAX_NAME_LENGTH });
 
-/** The beginning of a plain service's call path. */
+/** The path prefix of calls to a plain service. */
 export const pathField = checkedText(
   matching(PATH_PATTERN, MAX_PATH_LENGTH, 'a path that begins with "/"'),
 ).meta({ pattern: PATH_PATTERN.source, maxLength: MAX_PATH_LENGTH });
 
-/** The SHA-256 digest of an API key. The key itself must not stand in the text. */
+/** The SHA-256 digest of an API key. The key itself must not appear in the text. */
 export const digestField = checkedText(
-  // The value is not quoted: it may be a key that was pasted in place of its digest.
+  // The message omits the value, because it may be a key that was pasted instead of its digest.
   (value) =>
     DIGEST_PATTERN.test(value)
       ? null
@@ -86,7 +86,7 @@
         }),
 ).meta({ pattern: DIGEST_PATTERN.source });
 
-/** Splits `IP:port`; null for anything else. */
+/** Parses `IP:port`. Returns null if the text is not a valid address. */
 export function parseAddress(text: string): Address | null {
   const match = ADDRESS_PATTERN.exec(text);
   if (match === null) return null;
@@ -97,7 +97,7 @@
   return { host, port };
 }
 
-/** An IP number and port, such as `10.1.0.11:7000` or `[fd00::1]:7000`. */
+/** An IP address and port, such as `10.1.0.11:7000` or `[fd00::1]:7000`. */
 export const addressField = z
   .string()
   .transform((value, context): Address => {
@@ -110,7 +110,7 @@
   })
   .meta({ examples: ['10.1.0.11:7000'] });
 
-/** A quantity of a dimension within a range, read into the dimension's kept unit. */
+/** A quantity within a range, converted to the base unit of its dimension. */
 export function quantityField(dimension: Dimension, range: QuantityRange, description: string) {
   return z
     .unknown()
--- a/packages/config-text/src/core/schema/known-fields.ts
+++ b/packages/config-text/src/core/schema/known-fields.ts
@@ -1,5 +1,5 @@
 /**
- * The fields that the schema knows at a path, for the suggestion beside an unknown one.
+ * Looks up the fields that the schema allows at a path, to suggest a name for an unknown field.
  */
 import type { z } from 'zod';
 import type { TextPath } from '../faults/fault.js';
@@ -14,8 +14,8 @@
   workspaceSchema,
 } from './schema.js';
 
-/** Mappings of the schema by the last field name on the way to them. */
-const MAPPINGS: ReadonlyMap<string, z.ZodObject> = new Map<string, z.ZodObject>([
+/** Mapping schemas by the last field name in their path. */
+const SCHEMA_BY_FIELD: ReadonlyMap<string, z.ZodObject> = new Map<string, z.ZodObject>([
   ['services', serviceSchema],
   ['workspaces', workspaceSchema],
   ['limits', limitsSchema],
@@ -25,9 +25,9 @@
   ['targets', targetSchema],
 ]);
 
-/** Names of the fields allowed at the path; none for a path that leads to no mapping. */
+/** Returns the names of the fields allowed at the path, or an empty list if it is not a mapping. */
 export function knownFields(path: TextPath): readonly string[] {
   const lastField = path.filter((part) => typeof part === 'string').at(-1);
-  const mapping = lastField === undefined ? textSchema : MAPPINGS.get(lastField);
+  const mapping = lastField === undefined ? textSchema : SCHEMA_BY_FIELD.get(lastField);
   return Object.keys(mapping?.shape ?? {});
 }
--- a/packages/config-text/src/core/schema/schema.ts
+++ b/packages/config-text/src/core/schema/schema.ts
@@ -1,6 +1,6 @@
 /**
- * The schema of the operators' text: every field, its default and what it is for. The JSON Schema
- * for editors is made from it. Names across the text are checked apart, in `names/`.
+ * Defines the schema of the operators' text: all fields with defaults and descriptions. The JSON
+ * Schema for editors is generated from it. References between names are checked in `names/`.
  */
 import { TargetKind } from '@cassiamast/coordination';
 import { z } from 'zod';
@@ -36,7 +36,7 @@
 const MAX_PRIORITY = 100;
 const MAX_SHARE = 1_000_000;
 
-/** One target. */
+/** Schema of a target. */
 export const targetSchema = z.strictObject({
   name: nameField.describe('Unique over the whole text.'),
   failureDomain: nameField.describe('One of the declared failure domains.'),
@@ -52,7 +52,7 @@
     .describe('true takes the target out: no new work, running work ends.'),
 });
 
-/** One model of a service of model engines. */
+/** Schema of a model that a model engine service provides. */
 export const modelSchema = z.strictObject({
   name: modelField.describe('As callers name it in their requests.'),
   version: versionField.describe('The version that the engines must hold.'),
@@ -60,13 +60,13 @@
   size: quantityField(SIZE_MB, { min: '1 MB', max: '10 TB' }, 'Size of the weights.'),
 });
 
-/** Calls of a plain service under one path. */
+/** Schema of the calls to a plain service under one path prefix. */
 export const callSchema = z.strictObject({
   path: pathField.describe('Calls that begin with this path; the longest match decides.'),
   repeatable: z.boolean().describe('false: each request runs at most once, whatever fails.'),
 });
 
-/** Latency goals. */
+/** Schema of the latency goals of a service. */
 export const goalsSchema = z.strictObject({
   firstToken: quantityField(
     DURATION,
@@ -80,7 +80,7 @@
   ).prefault('80 ms'),
 });
 
-/** One service. */
+/** Schema of a service. */
 export const serviceSchema = z.strictObject({
   name: nameField.describe('Unique; callers of plain services use it in the path.'),
   kind: z.enum(TargetKind),
@@ -124,7 +124,7 @@
   targets: z.array(targetSchema).min(1).max(MAX_TARGETS_PER_SERVICE),
 });
 
-/** One workspace. */
+/** Schema of a workspace. */
 export const workspaceSchema = z.strictObject({
   name: nameField.describe('Unique.'),
   share: z
@@ -145,7 +145,7 @@
   ).optional(),
 });
 
-/** Bounds of the whole deployment. */
+/** Schema of the limits of the whole deployment. */
 export const limitsSchema = z.strictObject({
   answerRetention: quantityField(
     DURATION,
@@ -174,7 +174,7 @@
   ).prefault('10 min'),
 });
 
-/** The whole text. */
+/** Schema of the whole text. */
 export const textSchema = z.strictObject({
   failureDomains: z
     .array(nameField)
@@ -186,9 +186,9 @@
   limits: limitsSchema.prefault({}),
 });
 
-/** The text as read: units resolved, defaults filled in. */
+/** The validated text, with units converted and defaults filled in. */
 export type ValidatedText = z.output<typeof textSchema>;
-/** One service as read. */
+/** A service of the validated text. */
 export type ValidatedService = ValidatedText['services'][number];
-/** One workspace as read. */
+/** A workspace of the validated text. */
 export type ValidatedWorkspace = ValidatedText['workspaces'][number];
--- a/packages/config-text/src/core/schema/write-json-schema.ts
+++ b/packages/config-text/src/core/schema/write-json-schema.ts
@@ -1,10 +1,10 @@
 /**
- * Writes the committed JSON Schema anew: `node packages/config-text/dist/src/core/schema/write-json-schema.js`.
- * Run it, and then the formatter, after a change of the schema.
+ * Regenerates the committed JSON Schema. After changing the schema, run
+ * `node packages/config-text/dist/src/core/schema/write-json-schema.js` and then the formatter.
  */
 import { writeFileSync } from 'node:fs';
 import { textJsonSchema } from './json-schema.js';
 
-const TARGET = new URL('../../../../schema/cassiamast.schema.json', import.meta.url);
+const SCHEMA_FILE = new URL('../../../../schema/cassiamast.schema.json', import.meta.url);
 
-writeFileSync(TARGET, `${JSON.stringify(textJsonSchema(), null, 2)}\n`);
+writeFileSync(SCHEMA_FILE, `${JSON.stringify(textJsonSchema(), null, 2)}\n`);
--- a/packages/config-text/src/index.ts
+++ b/packages/config-text/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' text: its schema, its checks with line and column, what it compiles to, and the
- * difference between two of its versions.
+ * Parses, validates and compiles the operators' YAML configuration, reports faults with line and
+ * column, and compares two configurations.
  */
 export { compileText } from './core/compile/compile.js';
 export { MAX_DOCUMENT_BYTES, MAX_FAULTS, MAX_TEXT_BYTES } from './core/compile/limits.js';
--- a/packages/config-text/test/core/compile/compile.test.ts
+++ b/packages/config-text/test/core/compile/compile.test.ts
@@ -1,4 +1,4 @@
-/** What a correct text compiles to, and that each fault is found, placed and explained. */
+/** Tests the compilation of valid texts, and the position and explanation of each fault. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { compileText } from '../../../src/core/compile/compile.js';
@@ -15,7 +15,7 @@
   return result.isErr() ? result.error : [];
 }
 
-/** The faults as `line:column name`, which is what an operator acts on. */
+/** Formats the faults as `line:column name`. */
 function summaries(text: string): string[] {
   return faultsOf(text).map(
     ({ line, column, name }) => `${String(line)}:${String(column)} ${name}`,
@@ -23,7 +23,7 @@
 }
 
 describe('the operators’ text', () => {
-  describe('when correct', () => {
+  describe('when valid', () => {
     const configuration = compileText(KALAHARI_TEXT)._unsafeUnwrap();
     const [engines, portal] = configuration.services;
 
@@ -47,14 +47,14 @@
       assert.equal(portal?.floorTargets, 1);
     });
 
-    it('hands the service’s checksFencing to targets that say nothing', () => {
+    it('applies the service’s checksFencing to targets that do not set it', () => {
       assert.deepEqual(
         engines?.targets.map(({ checksFencing }) => checksFencing),
         [true, true, false],
       );
     });
 
-    it('knows withdrawn targets and calls that may not be repeated', () => {
+    it('keeps withdrawn targets and non-repeatable calls', () => {
       assert.deepEqual(
         engines?.targets.map(({ withdrawn }) => withdrawn),
         [false, false, true],
@@ -65,7 +65,7 @@
       ]);
     });
 
-    it('compiles at the target size, and the document fits its key', () => {
+    it('compiles a text of the planned size within the document limit', () => {
       const text = targetSizeText();
       const compiled = compileText(text)._unsafeUnwrap();
       const targets = compiled.services.flatMap((service) => service.targets);
@@ -74,10 +74,10 @@
     });
   });
 
-  describe('when faulty', () => {
+  describe('when it has faults', () => {
     /*
-     * Story: an operator pastes a service from another deployment and mistypes several values. A
-     * check that stopped at the first fault would need twelve rounds, each with aircraft waiting.
+     * An operator pastes a service from another deployment with several invalid values. A check
+     * that stopped at the first fault would need a separate run for each fault.
      */
     it('reports all faults at once, in the order of the text', () => {
       const replacements: [string, string][] = [
@@ -119,20 +119,20 @@
       );
     });
 
-    it('explains each fault with title, message and hint', () => {
+    it('gives each fault a title, message and hint', () => {
       for (const fault of faultsOf(kalahariWith('360 ms', '360'))) {
         assert.ok(fault.title !== '' && fault.message !== '' && fault.hint !== '');
       }
     });
 
-    const singles: [string, string, string, string][] = [
+    const singleFaults: [string, string, string, string][] = [
       ['a missing unit', 'deadline: 20 min', 'deadline: 20', '20:15 unit-missing'],
       ['a unit of another dimension', 'size: 40 GB', 'size: 40 s', '24:78 wrong-unit'],
       ['a duplicate name', 'name: lessor-portal', 'name: ramp', '12:11 duplicate'],
       ['a duplicate field', 'priority: 40', 'kind: model-engine', '19:5 duplicate'],
       ['a duplicate address', '10.3.0.11:8000', '10.2.0.11:8000', '41:18 duplicate'],
       [
-        'a host name for an IP number',
+        'a host name instead of an IP address',
         '10.3.0.11:7000',
         'eros.example:7000',
         '40:18 malformed-value',
@@ -152,52 +152,52 @@
         '49:12 floor-too-high',
       ],
       [
-        'a field of the other kind',
+        'a field that does not apply to the kind of service',
         'floor: 1 targets',
         'rolesMayChange: true',
         '49:5 does-not-apply',
       ],
     ];
-    for (const [what, passage, replacement, expected] of singles) {
+    for (const [what, passage, replacement, expected] of singleFaults) {
       it(`finds ${what}`, () => {
         assert.deepEqual(summaries(kalahariWith(passage, replacement)), [expected]);
       });
     }
 
-    it('finds engines without a model', () => {
+    it('finds model engine services without a model', () => {
       const line = KALAHARI_TEXT.split('\n').find((each) => each.includes('inspect-34b')) ?? '';
       const text = kalahariWith(`    models:\n${line}`, '    models: []\n');
       assert.deepEqual(summaries(text), ['23:5 too-few']);
     });
 
-    it('never repeats an API key that was pasted in place of its digest', () => {
+    it('does not quote an API key that was pasted instead of its digest', () => {
       const text = kalahariWith('6f1ed002', 'sk-secret');
       assert.deepEqual(summaries(text), ['11:20 malformed-value']);
       assert.doesNotMatch(JSON.stringify(faultsOf(text)), /sk-secret/);
     });
 
-    it('names the whole circle of dependencies', () => {
+    it('names all services of a dependency cycle', () => {
       const text = kalahariWith('priority: 40', 'dependsOn: [ramp-portal]');
       assert.deepEqual(summaries(text), ['19:5 dependency-cycle']);
       assert.match(faultsOf(text)[0]?.message ?? '', /inspect-llm → ramp-portal → inspect-llm/);
     });
   });
 
-  describe('when it is an attack or an accident', () => {
-    it('refuses a text over the size limit before parsing it', () => {
+  describe('when it exceeds a limit or is malicious', () => {
+    it('rejects a text over the size limit before parsing it', () => {
       assert.deepEqual(summaries('#'.repeat(MAX_TEXT_BYTES + 1)), ['1:1 text-too-large']);
     });
 
-    it('refuses a document that would not fit its key', () => {
+    it('rejects a document over the size limit', () => {
       const text = `${KALAHARI_TEXT}#${'x'.repeat(MAX_TEXT_BYTES - KALAHARI_TEXT.length - 10)}`;
       assert.deepEqual(summaries(text), ['1:1 document-too-large']);
     });
 
     /*
-     * Story: a text of a few lines doubles an alias thirty times. Expanded it takes gigabytes, and
-     * the command line, or worse the members, would die of it. Aliases are refused unexpanded.
+     * A text of a few lines doubles an alias thirty times. Expanding it takes gigabytes and would
+     * crash the command line or the members, so aliases are rejected without being expanded.
      */
-    it('refuses alias bombs', () => {
+    it('rejects alias bombs', () => {
       const lines = ['a0: &a0 [x, x]'];
       for (let level = 1; level <= 30; level += 1) {
         const below = `*a${String(level - 1)}`;
@@ -207,7 +207,7 @@
       assert.deepEqual([...names], ['alias-used']);
     });
 
-    it('refuses nesting that would overflow the parser’s stack', () => {
+    it('rejects nesting that would overflow the parser’s stack', () => {
       for (const unit of ['[', '{a: ', '- ', '? ']) {
         assert.deepEqual(
           faultsOf(unit.repeat(200_000)).map(({ name }) => name),
@@ -216,21 +216,21 @@
       }
     });
 
-    it('refuses more signs than the parser should read', () => {
+    it('rejects a text with more tokens than the limit', () => {
       assert.deepEqual(
         faultsOf('a:\n'.repeat(150_000)).map(({ name }) => name),
         ['too-many-tokens'],
       );
     });
 
-    it('reports a bounded number of faults and counts the rest', () => {
+    it('limits the number of reported faults and counts the rest', () => {
       const keys = Array.from({ length: 1_000 }, (_, index) => `k${String(index)}: 1`).join('\n');
       const faults = faultsOf(keys);
       assert.equal(faults.length, MAX_FAULTS);
       assert.match(faults.at(-1)?.message ?? '', /^804 more faults/);
     });
 
-    it('refuses more targets, services and workspaces than the bounds', () => {
+    it('rejects more targets and workspaces than the limits allow', () => {
       const names = new Set(faultsOf(targetSizeText(3_000, 2_500)).map(({ name }) => name));
       assert.deepEqual([...names], ['too-many']);
     });
--- a/packages/config-text/test/core/compile/fuzz.test.ts
+++ b/packages/config-text/test/core/compile/fuzz.test.ts
@@ -1,4 +1,6 @@
-/** Whatever the text is, the check returns; it never throws, and places each fault in the text. */
+/**
+ * Tests that compiling an arbitrary text never throws, and that each fault lies within the text.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
@@ -8,8 +10,10 @@
 const SEED = 20_261_202;
 const RUNS = 400;
 
-/** Checks a text and that its faults point into it. */
-function checkReturns(text: string): void {
+/**
+ * Compiles a text and checks that its faults have a message, a hint and a position within the text.
+ */
+function assertFaultsInText(text: string): void {
   const result = compileText(text);
   if (result.isOk()) return;
   const lines = text.split(/\r\n|\r|\n/);
@@ -21,8 +25,8 @@
   }
 }
 
-/** Cuts, doubles, swaps or replaces parts of the correct text. */
-const mutated = fc
+/** Inserts, removes or replaces random parts of the valid text. */
+const mutatedText = fc
   .array(
     fc.record({
       at: fc.nat(KALAHARI_TEXT.length - 1),
@@ -59,8 +63,8 @@
     ),
   );
 
-/** Well-formed YAML whose fields are the right ones with values of any kind. */
-const shaped = fc.record(
+/** Well-formed YAML with known fields and arbitrary values. */
+const textWithKnownFields = fc.record(
   {
     failureDomains: fc.anything(),
     limits: fc.anything(),
@@ -83,23 +87,23 @@
 );
 
 describe('checking any text', () => {
-  it('returns for any characters', () => {
-    fc.assert(fc.property(fc.string({ unit: 'binary', maxLength: 300 }), checkReturns), {
+  it('returns for arbitrary characters', () => {
+    fc.assert(fc.property(fc.string({ unit: 'binary', maxLength: 300 }), assertFaultsInText), {
       seed: SEED,
       numRuns: RUNS,
     });
   });
 
-  it('returns for a correct text that was damaged', () => {
-    fc.assert(fc.property(mutated, checkReturns), { seed: SEED, numRuns: RUNS });
+  it('returns for a valid text with random edits', () => {
+    fc.assert(fc.property(mutatedText, assertFaultsInText), { seed: SEED, numRuns: RUNS });
   });
 
-  it('returns for right fields with wrong values', () => {
-    const text = shaped.map((data) => JSON.stringify(data));
-    fc.assert(fc.property(text, checkReturns), { seed: SEED, numRuns: RUNS });
+  it('returns for known fields with arbitrary values', () => {
+    const text = textWithKnownFields.map((data) => JSON.stringify(data));
+    fc.assert(fc.property(text, assertFaultsInText), { seed: SEED, numRuns: RUNS });
   });
 
-  it('compiles the same with comments and other line ends', () => {
+  it('ignores comments and different line endings', () => {
     const first = compileText(KALAHARI_TEXT)._unsafeUnwrap();
     const commented = KALAHARI_TEXT.replaceAll('\n', ' # note\r\n');
     assert.deepEqual(compileText(commented)._unsafeUnwrap(), first);
--- a/packages/config-text/test/core/diff/diff.test.ts
+++ b/packages/config-text/test/core/diff/diff.test.ts
@@ -1,4 +1,4 @@
-/** What an edit changes, in the operators' words. */
+/** Tests the differences that are reported for an edit. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { compileText } from '../../../src/core/compile/compile.js';
@@ -11,7 +11,7 @@
   return diffConfigurations(a, b).map(differenceText);
 }
 
-/** The text's last target, from its list sign to the end. */
+/** The last target of the text, from its list marker to the end. */
 const PORTAL_2 = KALAHARI_TEXT.slice(KALAHARI_TEXT.lastIndexOf('      - {'));
 
 describe('the difference of two texts', () => {
@@ -23,7 +23,7 @@
     assert.deepEqual(textDiff(KALAHARI_TEXT, reordered), []);
   });
 
-  it('names withdrawal and return as such', () => {
+  it('reports withdrawal and return of a target as separate kinds of change', () => {
     const returned = kalahariWith('withdrawn: true', 'withdrawn: false');
     assert.deepEqual(
       textDiff(KALAHARI_TEXT, returned),
@@ -37,7 +37,7 @@
     );
   });
 
-  it('names added and removed targets', () => {
+  it('reports added and removed targets', () => {
     const without = kalahariWith(PORTAL_2, '');
     assert.deepEqual(textDiff(KALAHARI_TEXT, without), ['target portal-2 of ramp-portal: removed']);
     assert.deepEqual(textDiff(without, KALAHARI_TEXT), ['target portal-2 of ramp-portal: added']);
@@ -69,7 +69,7 @@
     ],
   ];
   for (const [passage, replacement, expected] of changes) {
-    it(`says "${expected}"`, () => {
+    it(`reports "${expected}"`, () => {
       assert.deepEqual(textDiff(KALAHARI_TEXT, kalahariWith(passage, replacement)), [expected]);
     });
   }
--- a/packages/config-text/test/core/quantities/quantity.test.ts
+++ b/packages/config-text/test/core/quantities/quantity.test.ts
@@ -1,4 +1,4 @@
-/** Numbers with units, both ways. */
+/** Tests parsing and formatting of numbers with units. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
@@ -14,8 +14,8 @@
 const DAY = { min: '1 ms', max: '24 h' };
 
 describe('quantities', () => {
-  describe('reading', () => {
-    it('takes a number, at most one space, and a unit', () => {
+  describe('parsing', () => {
+    it('accepts a number, at most one space and a unit', () => {
       assert.equal(parseQuantity('360 ms', DURATION, DAY)._unsafeUnwrap(), 360);
       assert.equal(parseQuantity('1.5min', DURATION, DAY)._unsafeUnwrap(), 90_000);
       assert.equal(parseQuantity('7 %', RATIO, { min: '0 %', max: '100 %' })._unsafeUnwrap(), 0.07);
@@ -23,7 +23,7 @@
       assert.equal(parseQuantity('40 GB', SIZE_MB, sizes)._unsafeUnwrap(), 40_000);
     });
 
-    const faulty: [unknown, string][] = [
+    const invalidValues: [unknown, string][] = [
       [360, 'unit-missing'],
       ['360', 'unit-missing'],
       ['360 sec', 'wrong-unit'],
@@ -36,22 +36,22 @@
       [null, 'not-a-quantity'],
       [['1 s'], 'not-a-quantity'],
     ];
-    for (const [value, name] of faulty) {
-      it(`answers ${JSON.stringify(value)} with ${name}`, () => {
+    for (const [value, name] of invalidValues) {
+      it(`rejects ${JSON.stringify(value)} with ${name}`, () => {
         assert.equal(parseQuantity(value, DURATION, DAY)._unsafeUnwrapErr().name, name);
       });
     }
   });
 
-  describe('writing', () => {
-    it('chooses the largest unit that stays whole', () => {
+  describe('formatting', () => {
+    it('chooses the largest unit that yields a whole number', () => {
       assert.equal(formatQuantity(90_000, DURATION), '90 s');
       assert.equal(formatQuantity(600_000, DURATION), '10 min');
       assert.equal(formatQuantity(0, DURATION), '0 ms');
       assert.equal(formatQuantity(0.1, RATIO), '10 %');
     });
 
-    it('is read back to the same amount, and fits the editors’ pattern', () => {
+    it('round-trips and matches the pattern for editors', () => {
       const pattern = new RegExp(quantityPattern(DURATION));
       fc.assert(
         fc.property(fc.integer({ min: 1, max: 86_400_000 }), (amount) => {
