--- a/packages/config-text/src/core/compile/limits.ts
+++ b/packages/config-text/src/core/compile/limits.ts
@@ -8,9 +8,9 @@
 export const MAX_TEXT_BYTES = 1_000_000;
 
 /**
- * Maximum size of the stored document: the text, the compiled configuration and {@link
- * ENVELOPE_BYTES}. One transaction writes the document twice, as the current version and as a
- * history entry, and the key-value service accepts requests of at most 1.5 MB.
+ * Maximum size of the stored document: the text, the compiled configuration and
+ * {@link ENVELOPE_BYTES}. One transaction writes the document twice, as the current version and as
+ * a history entry, and the key-value service accepts requests of at most 1.5 MB.
  */
 export const MAX_DOCUMENT_BYTES = 700_000;
 
