--- a/packages/config-text/src/core/names/names.ts
+++ b/packages/config-text/src/core/names/names.ts
@@ -1,10 +1,10 @@
 /**
- * Faults of names over the whole text: what is given twice, what is named but not declared, and
- * services that depend on each other in a circle.
+ * Checks names across the whole text: duplicates, references to undeclared names and dependency
+ * cycles between services.
  */
 import { findDependencyCycle } from '@cassiamast/coordination';
 import { MAX_TARGETS } from '../compile/limits.js';
-import { pathText, type UnplacedFault } from '../faults/fault.js';
+import { pathText, type UnlocatedFault } from '../faults/fault.js';
 import { DEPENDENCY_CYCLE, DUPLICATE, TOO_MANY, UNKNOWN_NAME } from '../faults/failures.js';
 import { nearestName } from '../faults/nearest.js';
 import { quoted } from '../quantities/quantity.js';
@@ -17,8 +17,8 @@
   type TextEntry,
 } from './entries.js';
 
-/** All faults of names in the raw data. */
-export function nameFaults(raw: unknown): UnplacedFault[] {
+/** Returns all name faults in the raw data, and one fault if there are too many targets. */
+export function nameFaults(raw: unknown): UnlocatedFault[] {
   const root = rootEntry(raw);
   const services = mappingsIn(root, 'services');
   const workspaces = mappingsIn(root, 'workspaces');
@@ -36,8 +36,8 @@
     ...services.flatMap(serviceDuplicates),
     ...unknownDependencies(services),
     ...unknownFailureDomains(root, targets),
-    ...cycles(services),
-    ...targetCount(targets),
+    ...dependencyCycles(services),
+    ...tooManyTargets(targets),
   ];
 }
 
@@ -49,7 +49,7 @@
   return targets.flatMap((target) => [...textOf(target, 'sidecar'), ...textOf(target, 'backend')]);
 }
 
-function serviceDuplicates(service: MappingEntry): UnplacedFault[] {
+function serviceDuplicates(service: MappingEntry): UnlocatedFault[] {
   const models = mappingsIn(service, 'models');
   const calls = mappingsIn(service, 'calls');
   return [
@@ -63,13 +63,13 @@
   ];
 }
 
-function duplicates(what: string, entries: readonly TextEntry[]): UnplacedFault[] {
-  const firsts = new Map<string, TextEntry>();
-  const faults: UnplacedFault[] = [];
+function duplicates(what: string, entries: readonly TextEntry[]): UnlocatedFault[] {
+  const firstByValue = new Map<string, TextEntry>();
+  const faults: UnlocatedFault[] = [];
   for (const entry of entries) {
-    const first = firsts.get(entry.value);
+    const first = firstByValue.get(entry.value);
     if (first === undefined) {
-      firsts.set(entry.value, entry);
+      firstByValue.set(entry.value, entry);
       continue;
     }
     const data = { what, value: quoted(entry.value), first: pathText(first.path) };
@@ -78,11 +78,11 @@
   return faults;
 }
 
-function unknowns(
+function unknownNames(
   what: string,
   entries: readonly TextEntry[],
   known: ReadonlySet<string>,
-): UnplacedFault[] {
+): UnlocatedFault[] {
   return entries
     .filter(({ value }) => !known.has(value))
     .map(({ value, path }) => {
@@ -92,23 +92,25 @@
     });
 }
 
-function unknownDependencies(services: readonly MappingEntry[]): UnplacedFault[] {
+function unknownDependencies(services: readonly MappingEntry[]): UnlocatedFault[] {
   const known = new Set(namesOf(services).map(({ value }) => value));
-  return services.flatMap((service) => unknowns('service', textsIn(service, 'dependsOn'), known));
+  return services.flatMap((service) =>
+    unknownNames('service', textsIn(service, 'dependsOn'), known),
+  );
 }
 
 function unknownFailureDomains(
   root: MappingEntry,
   targets: readonly MappingEntry[],
-): UnplacedFault[] {
-  // Where the list itself is missing, that one fault says it all.
+): UnlocatedFault[] {
+  // A missing list is reported once as a missing field; one fault per target would add nothing.
   if (!Array.isArray(root.fields.failureDomains)) return [];
   const known = new Set(textsIn(root, 'failureDomains').map(({ value }) => value));
-  const named = targets.flatMap((target) => textOf(target, 'failureDomain'));
-  return unknowns('failure domain', named, known);
+  const references = targets.flatMap((target) => textOf(target, 'failureDomain'));
+  return unknownNames('failure domain', references, known);
 }
 
-function cycles(services: readonly MappingEntry[]): UnplacedFault[] {
+function dependencyCycles(services: readonly MappingEntry[]): UnlocatedFault[] {
   const graph = services.flatMap((service) =>
     textOf(service, 'name').map(({ value }) => ({
       name: value,
@@ -123,7 +125,7 @@
   return [{ failure, path: [...path, 'dependsOn'], atKey: true }];
 }
 
-function targetCount(targets: readonly MappingEntry[]): UnplacedFault[] {
+function tooManyTargets(targets: readonly MappingEntry[]): UnlocatedFault[] {
   if (targets.length <= MAX_TARGETS) return [];
   return [{ failure: TOO_MANY.of({ max: MAX_TARGETS }), path: ['services'], atKey: true }];
 }
