--- a/packages/daemon/src/node/address.ts
+++ b/packages/daemon/src/node/address.ts
@@ -1,12 +1,12 @@
-/** Addresses as texts: a member's id is its control address, `host:port`. */
+/** Converts between addresses and member ids. A member id is its control address, `host:port`. */
 import type { Address } from '@cassiamast/coordination';
 
-/** The member id of an address. */
+/** Returns the member id of an address. */
 export function formatAddress(address: Address): string {
   return `${address.host}:${String(address.port)}`;
 }
 
-/** The address that a member id names. */
+/** Returns the address that a member id stands for. */
 export function parseAddress(text: string): Address {
   const colon = text.lastIndexOf(':');
   return { host: text.slice(0, colon), port: Number(text.slice(colon + 1)) };
--- a/packages/daemon/src/node/claim-aggregator-driver.ts
+++ b/packages/daemon/src/node/claim-aggregator-driver.ts
@@ -1,4 +1,7 @@
-/** Runs the claim aggregator: any member may be asked to batch claims into one transaction. */
+/**
+ * Runs the claim aggregator of this member: executes the effects of its state machine against the
+ * key-value service. Every member can batch the claims of others into one transaction.
+ */
 import {
   type AggregatorEffect,
   AggregatorEffectKind,
@@ -14,7 +17,7 @@
 import type { KeyValuePort } from '@cassiamast/ports';
 import type { Telemetry } from './telemetry.js';
 
-/** What the driver needs. */
+/** Dependencies of the driver. */
 export interface ClaimAggregatorOptions {
   readonly nowMs: () => number;
   readonly random: Random;
@@ -22,15 +25,15 @@
   readonly telemetry: Telemetry;
 }
 
-/** Takes a claim; the reply comes when its transaction is decided. */
+/** Submits a claim. The promise resolves with the reply once its transaction has an outcome. */
 export type TakeClaim = (request: ClaimRequest) => Promise<ClaimReply>;
 
-/** Makes the aggregator of this member. */
+/** Creates the claim aggregator of this member. */
 export function createClaimAggregator(options: ClaimAggregatorOptions): TakeClaim {
   const { keyValue, telemetry } = options;
   const state = createAggregator();
-  const waiting = new Map<string, (reply: ClaimReply) => void>();
-  let lastCall = 0;
+  const pendingReplies = new Map<string, (reply: ClaimReply) => void>();
+  let lastCallNumber = 0;
 
   function handle(event: AggregatorEvent): void {
     const context = {
@@ -50,8 +53,8 @@
         void transact(effect);
         return;
       case AggregatorEffectKind.Reply:
-        waiting.get(effect.callId)?.(effect.reply);
-        waiting.delete(effect.callId);
+        pendingReplies.get(effect.callId)?.(effect.reply);
+        pendingReplies.delete(effect.callId);
         return;
       case AggregatorEffectKind.SetTimer: {
         const { timerId } = effect;
@@ -88,9 +91,9 @@
 
   return (request) =>
     new Promise((resolve) => {
-      lastCall += 1;
-      const callId = String(lastCall);
-      waiting.set(callId, resolve);
+      lastCallNumber += 1;
+      const callId = String(lastCallNumber);
+      pendingReplies.set(callId, resolve);
       telemetry.count('claims_asked_total');
       handle({ kind: AggregatorEventKind.Asked, callId, request });
     });
--- a/packages/daemon/src/node/clocks.ts
+++ b/packages/daemon/src/node/clocks.ts
@@ -1,7 +1,7 @@
-/** The process's real clocks, handed to decision code as functions. */
+/** The real clocks of the process, passed to decision code as functions. */
 import type { Clocks } from '@cassiamast/coordination';
 
-/** Monotonic time from the event loop's high-resolution clock, wall time from the system's. */
+/** Monotonic time comes from `performance.now()`, wall time from the system clock. */
 export const SYSTEM_CLOCKS: Clocks = {
   monotonicMs: () => performance.now(),
   wallMs: () => Date.now(),
--- a/packages/daemon/src/node/configuration-driver.ts
+++ b/packages/daemon/src/node/configuration-driver.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the configuration machine: performs its reads, watches, announcements and fetches, and puts
- * in force what it decides.
+ * Runs the configuration sync of this process: executes the reads, watches, announcements and
+ * fetches that its state machine requests, and applies the configuration it selects.
  */
 import {
   CONFIGURATION_CURRENT_KEY,
@@ -45,7 +45,7 @@
 const TICK_MS = 250;
 const FETCH_TIMEOUT_MS = 2_000;
 
-/** What the driver needs. */
+/** Dependencies of the driver. */
 export interface ConfigurationDriverOptions {
   readonly selfId: string;
   readonly nowMs: () => number;
@@ -62,7 +62,7 @@
   readonly onInForce: (configuration: MemberConfiguration) => void;
 }
 
-/** The configuration of this process. */
+/** The configuration sync of this process. */
 export interface ConfigurationDriver {
   readonly child: Child;
   readonly state: ConfigState;
@@ -70,11 +70,11 @@
   readonly hintsHeard: (from: string, hints: Hints, askedAtMs: number | null) => void;
   readonly announced: (from: string, params: unknown) => void;
   readonly serveFetch: (request: FetchRequest) => Result<FetchAnswer, Failure>;
-  /** Why new work is not taken, or null while it is. */
+  /** The reason why new work is rejected, or null while it is accepted. */
   readonly newWorkRefused: () => string | null;
 }
 
-/** Makes the driver; the machine exists at once, time runs while the child is started. */
+/** Creates the driver. The state exists immediately; ticks run only while the child is started. */
 export function createConfigurationDriver(
   options: ConfigurationDriverOptions,
 ): ConfigurationDriver {
@@ -91,7 +91,7 @@
   });
   const state = createConfigState(CONFIG_OPTIONS, context());
   let stopWatch: StopWatch | null = null;
-  let refusedReason: string | null = 'it has no configuration yet';
+  let rejectionReason: string | null = 'it has no configuration yet';
 
   function perform(effects: readonly ConfigEffect[]): void {
     for (const effect of effects) performOne(effect);
@@ -122,7 +122,7 @@
         stopWatch = null;
         return;
       case ConfigEffectKind.NewWork:
-        refusedReason = effect.allowed ? null : effect.reason;
+        rejectionReason = effect.allowed ? null : effect.reason;
         return;
       case ConfigEffectKind.Emit:
         options.telemetry.emit(effect.event);
@@ -200,7 +200,7 @@
       perform(configAnnounced(state, from, version, context()));
     },
     serveFetch: (request) => serveConfigFetch(state, request),
-    newWorkRefused: () => refusedReason,
+    newWorkRefused: () => rejectionReason,
     child: {
       ...ticks,
       stop: async () => {
--- a/packages/daemon/src/node/control-server.ts
+++ b/packages/daemon/src/node/control-server.ts
@@ -1,7 +1,8 @@
 /**
- * The control port of a member: JSON-RPC calls, streams and the Prometheus text, for members and
- * the command line only. Listening on it is also the slot's lock: the operating system lets one
- * process hold the address, a paused process keeps it and a dead one loses it.
+ * The control port of a member. Serves JSON-RPC calls, streams and Prometheus metrics to other
+ * members and to the command line only. The port is also the lock of the member's slot: the
+ * operating system lets only one process bind the address, a paused process keeps it and a dead one
+ * loses it.
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { type Address, FailureError } from '@cassiamast/coordination';
@@ -21,27 +22,27 @@
 import type { MemberProof } from './secret.js';
 import { HYBRID_TIME_HEADER, type MessageClock } from './timeline.js';
 
-/** A configuration document of 1 MB as JSON in JSON, with room to spare. */
+/** Fits a configuration document of 1 MB that is escaped as JSON within JSON. */
 const MAX_CALL_BYTES = 8 * 1024 * 1024;
 const MAX_CONNECTIONS = 4_096;
 const REQUEST_TIMEOUT_MS = 10_000;
-/** Calls are answered within that; a stream that is still open has nobody left who feeds it. */
+/** Calls are answered within these times. A stream still open after them has no producer left. */
 const CLOSE: CloseOptions = { idleMs: 50, timeoutMs: 1_000 };
-/** JSON-RPC leaves this range to servers. */
+/** JSON-RPC reserves the range from -32000 to -32099 for errors that the server defines. */
 export const RPC_FAILURE_CODE = -32_000;
 
-/** Answers one call; throws FailureError to answer with a typed failure. */
+/** Handles one call. Throws a FailureError to answer with a typed failure. */
 export type RpcHandler = (params: unknown) => unknown;
 
-/** Answers one call with a stream. */
+/** Handles one call by writing a stream to the response. */
 export type StreamHandler = (request: JSONRPCRequest, response: ServerResponse) => void;
 
-/** What a control port needs. */
+/** Options of the control port. */
 export interface ControlServerOptions {
   readonly address: Address;
   readonly allows: AllowsAddress;
   readonly proof: MemberProof;
-  /** Puts causes before effects on the time line. */
+  /** Orders events of different processes so that a cause precedes its effects on the time line. */
   readonly clock: MessageClock;
   /** By method name. */
   readonly handlers: Readonly<Record<string, RpcHandler>>;
@@ -49,13 +50,13 @@
   readonly metricsText: () => Promise<string>;
 }
 
-/** Turns a failure into the error of a JSON-RPC answer, data and all. */
+/** Converts a FailureError to a JSON-RPC error with the whole failure; rethrows other errors. */
 export function toRpcError(error: unknown): JSONRPCErrorException {
   if (!(error instanceof FailureError)) throw error;
   return new JSONRPCErrorException(error.failure.message, RPC_FAILURE_CODE, error.failure);
 }
 
-/** Makes the control port a child of the supervisor tree. */
+/** Creates the control port as a child of the supervisor tree. */
 export function createControlServer(options: ControlServerOptions): Child {
   const rpc = new JSONRPCServer({ errorListener: () => undefined });
   for (const [method, handler] of Object.entries(options.handlers)) {
@@ -91,7 +92,7 @@
   };
 }
 
-/** Binds an address that no other process may hold. */
+/** Binds an address exclusively; rejects with ADDRESS_TAKEN if it can't be bound. */
 export function listenExclusively(server: Server, address: Address): Promise<void> {
   return new Promise((resolve, reject) => {
     server.once('error', (error) => {
@@ -132,7 +133,7 @@
   else answerJson(response, 404, MALFORMED_CALL.of({ fault: 'unknown path' }));
 }
 
-/** Answers a call that could not be served, as far as nothing of an answer is out. */
+/** Answers a failed call with an error, or closes the connection if headers have been sent. */
 function refuse(response: ServerResponse, error: unknown): void {
   if (response.headersSent) response.destroy();
   else answerJson(response, 500, MALFORMED_CALL.of({ fault: String(error) }));
--- a/packages/daemon/src/node/datagrams.ts
+++ b/packages/daemon/src/node/datagrams.ts
@@ -1,6 +1,7 @@
 /**
- * Datagrams between members: one sealed JSON-RPC notification each, on the same port number as the
- * control port. Small, unconnected and unacknowledged: what must arrive is the machines' concern.
+ * Sends and receives datagrams between members. Each datagram is one authenticated JSON-RPC
+ * notification; the port number is that of the control port. Delivery is not acknowledged: a state
+ * machine that depends on a message retries it itself.
  */
 import { createSocket, type RemoteInfo, type Socket } from 'node:dgram';
 import { isIPv6 } from 'node:net';
@@ -11,16 +12,16 @@
 import { ADDRESS_TAKEN } from './failures.js';
 import type { MemberProof } from './secret.js';
 
-/** IP and UDP headers, counted with every datagram as control bytes. */
+/** IP and UDP headers, added to the size of every datagram in the byte counts. */
 export const DATAGRAM_HEADER_BYTES = 28;
 
-/** Bytes and datagrams sent and received since the start, headers included. */
+/** Bytes and datagrams sent and received since the start. Bytes include headers. */
 export interface DatagramCounts {
   sentBytes: number;
   sentDatagrams: number;
   receivedBytes: number;
   receivedDatagrams: number;
-  /** Datagrams without a valid seal or that are no JSON-RPC notification. */
+  /** Received datagrams with an invalid authentication code or without a JSON-RPC notification. */
   rejected: number;
 }
 
@@ -31,10 +32,10 @@
   readonly counts: DatagramCounts;
 }
 
-/** What receives datagrams; `from` is the sender's member id. */
+/** Handles a received datagram; `from` is the sender's member id. */
 export type OnDatagram = (from: string, method: string, params: unknown) => void;
 
-/** Makes the datagram port of a member. */
+/** Creates the datagram port of a member. */
 export function createDatagrams(
   address: Address,
   proof: MemberProof,
@@ -54,7 +55,7 @@
     counts.receivedDatagrams += 1;
     const call = decode(proof, data);
     if (call === null) counts.rejected += 1;
-    // Members send from their control port, so the source address names the member.
+    // Members send from the number of their control port, so the source address is the member id.
     else
       onDatagram(
         formatAddress({ host: sender.address, port: sender.port }),
@@ -72,29 +73,29 @@
       counts.sentBytes += data.length + DATAGRAM_HEADER_BYTES;
       counts.sentDatagrams += 1;
       const { host, port } = parseAddress(member);
-      // An unreachable peer is what the membership's probes find out; here it is no failure.
+      // Errors are ignored: the probes of the membership detect unreachable peers.
       socket.send(data, port, host, () => undefined);
     },
     child: {
       name: 'datagrams',
       start: (reportFailure) =>
         new Promise((resolve, reject) => {
-          const opened = createSocket({ type: isIPv6(address.host) ? 'udp6' : 'udp4' });
+          const newSocket = createSocket({ type: isIPv6(address.host) ? 'udp6' : 'udp4' });
           const failure = (error: Error): FailureError =>
             new FailureError(
               ADDRESS_TAKEN.of({ address: formatAddress(address), cause: error.message }),
             );
-          opened.once('error', (error) => {
-            opened.close();
+          newSocket.once('error', (error) => {
+            newSocket.close();
             reject(failure(error));
           });
-          opened.on('message', receive);
-          opened.bind({ port: address.port, address: address.host, exclusive: true }, () => {
-            opened.removeAllListeners('error');
-            opened.on('error', (error) => {
+          newSocket.on('message', receive);
+          newSocket.bind({ port: address.port, address: address.host, exclusive: true }, () => {
+            newSocket.removeAllListeners('error');
+            newSocket.on('error', (error) => {
               reportFailure(failure(error).failure);
             });
-            socket = opened;
+            socket = newSocket;
             resolve();
           });
         }),
--- a/packages/daemon/src/node/event-stream.ts
+++ b/packages/daemon/src/node/event-stream.ts
@@ -1,10 +1,10 @@
 /**
- * Writing server-sent events with back-pressure: `write` says whether the peer keeps up, and
- * `onDrain` tells when it does again, so that a slow reader costs one socket buffer and no more.
+ * Writes server-sent events with backpressure. `write` returns false when the peer falls behind and
+ * `onDrain` is called when it has caught up, so a slow reader uses at most one socket buffer.
  */
 import type { ServerResponse } from 'node:http';
 
-/** One event; `id` is what a returning caller sends back as Last-Event-ID. */
+/** One event. A caller that reconnects sends `id` back as Last-Event-ID. */
 export interface ServerSentEvent {
   readonly id?: string;
   readonly data: string;
@@ -12,7 +12,7 @@
 
 /** The writing side of an event stream. */
 export interface EventStreamWriter {
-  /** False when the peer reads more slowly than events come: wait for `onDrain`. */
+  /** Returns false when the peer falls behind; the writer then waits for `onDrain`. */
   readonly write: (event: ServerSentEvent) => boolean;
   readonly end: () => void;
   readonly isOpen: () => boolean;
@@ -24,7 +24,7 @@
   'x-accel-buffering': 'no',
 };
 
-/** Starts an event stream on a response. */
+/** Sends the headers of an event stream and returns its writer. */
 export function startEventStream(
   response: ServerResponse,
   headers: Readonly<Record<string, string>>,
--- a/packages/daemon/src/node/failures.ts
+++ b/packages/daemon/src/node/failures.ts
@@ -1,7 +1,7 @@
-/** Failures of the members' transports. */
+/** Failures of the transports between members. */
 import { defineFailure } from '@cassiamast/coordination';
 
-/** A call to a member brought no usable answer. */
+/** A call to a member returned no usable answer. */
 export const MEMBER_UNREACHABLE = defineFailure({
   name: 'member-unreachable',
   title: 'A member did not answer',
@@ -9,13 +9,13 @@
     readonly member: string;
     readonly method: string;
     readonly cause: string;
-    /** False only when the call certainly never left this process. */
+    /** False only if the call is known not to have left this process. */
     readonly mayHaveRun: boolean;
   }) => `${data.member} did not answer ${data.method}: ${data.cause}`,
   hint: 'Look at the member itself and at the network between the two VMs.',
 });
 
-/** The control address is taken, by another process or by this one's paused predecessor. */
+/** The control address is in use, by another process or by a paused earlier one of this slot. */
 export const ADDRESS_TAKEN = defineFailure({
   name: 'address-taken',
   title: 'The control address is taken',
@@ -24,7 +24,7 @@
   hint: 'Another process, perhaps paused, still holds this slot; only one may. End it first.',
 });
 
-/** A member sent something that is no valid call. */
+/** A member sent an invalid call. */
 export const MALFORMED_CALL = defineFailure({
   name: 'malformed-call',
   title: 'The call is malformed',
@@ -32,7 +32,7 @@
   hint: 'Both members should run the same version.',
 });
 
-/** A call without the members' shared secret. */
+/** A call did not carry the members' shared secret. */
 export const NOT_A_MEMBER = defineFailure({
   name: 'not-a-member',
   title: 'The caller of the control port is no member',
--- a/packages/daemon/src/node/graceful-server.ts
+++ b/packages/daemon/src/node/graceful-server.ts
@@ -1,7 +1,8 @@
 /**
- * An HTTP server that ends without cutting what it has read. Node's own `close` is not enough: it
- * destroys connections whose answer has been ended but not sent, goes on taking requests from kept
- * connections that were busy at the time, and never ends while a connected peer says nothing.
+ * An HTTP server with a graceful shutdown that answers every request it has read. Node's `close` is
+ * not enough: it destroys connections whose response is ended but not yet sent, keeps accepting
+ * requests on keep-alive connections that were busy at the time, and never finishes while a
+ * connected peer sends nothing.
  */
 import {
   type RequestListener,
@@ -12,46 +13,46 @@
 } from 'node:http';
 import { type Socket, Server as NetServer } from 'node:net';
 
-/** How a server is closed. */
+/** Time limits of a shutdown. */
 export interface CloseOptions {
-  /** Connections that ask nothing stay open for so long: a request may be on its way to them. */
+  /** How long idle connections stay open, since a request may be in transit on them. */
   readonly idleMs: number;
-  /** How long all of it may take; what is open then is cut. */
+  /** How long the shutdown may take; connections that are still open then are destroyed. */
   readonly timeoutMs: number;
 }
 
-/** A server that can be closed without a cut. */
+/** A server that can be closed without losing requests. */
 export interface GracefulServer {
   readonly server: Server;
-  /** Requests whose answer is not yet with the operating system as a whole. */
+  /** Number of requests whose response has not been handed to the operating system completely. */
   readonly open: () => number;
-  /** From now on each answer asks its caller to connect anew. */
+  /** Makes every response from now on ask its caller to open a new connection. */
   readonly disableKeepAlive: () => void;
   /**
-   * Stops listening, answers what was sent on open connections and closes each of them once it is
-   * idle. Resolves, when no connection is left, with the number of requests that were cut.
+   * Stops listening, answers the requests on open connections and closes each connection once it is
+   * idle. Resolves when no connection is left, with the number of requests that were cut off.
    */
   readonly close: (options: CloseOptions) => Promise<number>;
 }
 
-/** What is known of one connection. */
+/** State of one connection. */
 interface Connection {
-  /** In the order of their requests, which a caller may send without waiting for answers. */
+  /** Open responses in the order of their requests, which a caller may pipeline. */
   readonly open: Set<ServerResponse>;
-  /** The answer that ends the connection. */
+  /** The response that ends the connection. */
   last: ServerResponse | null;
-  /** Bytes read of it when its last answer was whole. */
+  /** Bytes read from the connection when its latest response was complete. */
   readBytes: number;
 }
 
-/** Ends a connection with this answer, in place of an earlier one that is not out yet. */
+/** Ends the connection with this response, instead of an earlier one that has not been sent yet. */
 function endWith(connection: Connection, response: ServerResponse): void {
   if (connection.last !== null) connection.last.shouldKeepAlive = true;
   connection.last = response;
   response.shouldKeepAlive = false;
 }
 
-/** Makes a server that does not listen yet. */
+/** Creates a server that does not listen yet. */
 export function createGracefulServer(
   options: ServerOptions,
   serve: RequestListener,
@@ -64,7 +65,7 @@
     const { socket } = request;
     const connection = connections.get(socket);
     if (connection === undefined) return;
-    // The connection ends with an answer before this one, so nobody would hear of it.
+    // An earlier response ends the connection, so this request could not be answered.
     if (connection.last?.headersSent === true) return;
     connection.open.add(response);
     if (endsKeepAlive) endWith(connection, response);
@@ -79,7 +80,7 @@
     const connection: Connection = { open: new Set(), last: null, readBytes: 0 };
     connections.set(socket, connection);
     socket.once('close', () => connections.delete(socket));
-    // Accepted by the system before the server stopped to listen.
+    // The system may have accepted the connection before the server stopped listening.
     closeWhenIdle(socket, connection);
   });
 
@@ -87,11 +88,11 @@
     return [...connections.values()].flatMap(({ open }) => [...open]);
   }
 
-  /** Closes a connection of a server that closes, unless it asks something in the meantime. */
+  /** During a shutdown, closes the connection unless a request arrives on it within `idleMs`. */
   function closeWhenIdle(socket: Socket, connection: Connection): void {
     if (idleMs === null) return;
     setTimeout(() => {
-      // What has arrived by now is read first.
+      // Data that has already arrived is read first.
       setImmediate(() => {
         const isIdle = connection.open.size === 0 && socket.bytesRead === connection.readBytes;
         if (isIdle) socket.destroy();
@@ -107,25 +108,25 @@
     }
   }
 
-  async function close(how: CloseOptions): Promise<number> {
+  async function close(limits: CloseOptions): Promise<number> {
     disableKeepAlive();
-    idleMs = how.idleMs;
-    let cut = 0;
+    idleMs = limits.idleMs;
+    let cutRequests = 0;
     await new Promise<void>((resolve) => {
       const timer = setTimeout(() => {
-        cut = openAnswers().length;
+        cutRequests = openAnswers().length;
         for (const socket of connections.keys()) socket.destroy();
-      }, how.timeoutMs);
-      // The HTTP server's own method would destroy connections that look idle.
+      }, limits.timeoutMs);
+      // The HTTP server's own `close` would destroy connections that look idle.
       NetServer.prototype.close.call(server, () => {
         clearTimeout(timer);
         resolve();
       });
       for (const [socket, connection] of connections) closeWhenIdle(socket, connection);
     });
-    // Ends the HTTP server's periodic check for slow requests.
+    // Stops the HTTP server's periodic check for slow requests.
     server.close();
-    return cut;
+    return cutRequests;
   }
 
   return { server, open: () => openAnswers().length, disableKeepAlive, close };
--- a/packages/daemon/src/node/holder-driver.ts
+++ b/packages/daemon/src/node/holder-driver.ts
@@ -1,6 +1,6 @@
 /**
- * Runs this member's table of records, and calls the tables of the others. A call to this member
- * itself takes no way over the network.
+ * Runs the record table of this member and calls those of the other holders. Calls to this member
+ * itself bypass the network.
  */
 import {
   DEFAULT_HOLDER_OPTIONS,
@@ -32,32 +32,32 @@
 
 const TICK_MS = 100;
 
-/** What the driver needs. */
+/** Dependencies of the driver. */
 export interface HolderDriverOptions {
   readonly selfId: string;
   readonly nowMs: () => number;
   readonly rpc: RpcClient;
   readonly telemetry: Telemetry;
   readonly holdersOf: (keyText: string) => readonly string[];
-  /** The members that keys are placed at. */
+  /** The members that keys are placed on. */
   readonly placed: () => readonly PlacedMember[];
   readonly answerRetentionMs: () => number;
 }
 
-/** Calls a holder, which may be this member. */
+/** Calls a holder, which can be this member. */
 export type CallHolder = (to: string, call: HolderCall) => ResultAsync<HolderReply, Failure>;
 
-/** The records of this member. */
+/** The record table of this member. */
 export interface HolderDriver {
   readonly child: Child;
   readonly state: HolderState;
   readonly handlers: Readonly<Record<HolderCallKind, RpcHandler>>;
   readonly callHolder: CallHolder;
-  /** To be called after the placement changed: copies are restored at their new places. */
+  /** Must be called after each change of placement; restores copies at their new holders. */
   readonly placementChanged: () => void;
 }
 
-/** Makes the driver. */
+/** Creates the driver. */
 export function createHolderDriver(options: HolderDriverOptions): HolderDriver {
   const state = createHolder(options.nowMs());
   const repair = createRepair();
--- a/packages/daemon/src/node/http-body.ts
+++ b/packages/daemon/src/node/http-body.ts
@@ -1,16 +1,16 @@
-/** Reading a request's body with bounds on size and time. */
+/** Reads the body of an HTTP message up to a maximum size. */
 import type { IncomingMessage } from 'node:http';
 import { err, ok, type Result } from 'neverthrow';
 
-/** Why a body was not taken. */
+/** Why a body was rejected. */
 export enum BodyFault {
   TooLarge = 'too-large',
   Broken = 'broken',
 }
 
 /**
- * Collects the body. A body over the bound is refused as soon as it is, without keeping the rest:
- * otherwise one caller fills the memory that all others share.
+ * Collects the body. A body over the limit is rejected at once and the rest is discarded; otherwise
+ * one caller could fill the memory that all callers share.
  */
 export function readBody(
   message: IncomingMessage,
@@ -20,10 +20,10 @@
   const declared = Number(message.headers['content-length'] ?? 0);
   if (declared > maxBytes) return Promise.resolve(err(BodyFault.TooLarge));
   const parts: Buffer[] = [];
-  let bytes = 0;
+  let receivedBytes = 0;
   message.on('data', (part: Buffer) => {
-    bytes += part.length;
-    if (bytes > maxBytes) {
+    receivedBytes += part.length;
+    if (receivedBytes > maxBytes) {
       message.removeAllListeners('data');
       message.resume();
       resolve(err(BodyFault.TooLarge));
@@ -40,7 +40,7 @@
   return promise;
 }
 
-/** A promise with its resolver outside; Node 20 does not bring it. */
+/** Returns a promise with its resolver, like `Promise.withResolvers`, which Node 20 lacks. */
 export function withResolvers<Value>(): {
   readonly promise: Promise<Value>;
   readonly resolve: (value: Value) => void;
