--- a/packages/daemon/src/node/key-value-outages.ts
+++ b/packages/daemon/src/node/key-value-outages.ts
@@ -1,6 +1,6 @@
 /**
- * Puts outages of the key-value service on the time line: the calls of this process are watched on
- * their way, and nothing is asked only to find out.
+ * Reports outages of the key-value service on the time line. Outages are detected from the results
+ * of the calls that this process makes anyway, without extra probes.
  */
 import {
   createOutageWatch,
@@ -18,23 +18,23 @@
 
 type Observe = <Value>(call: ResultAsync<Value, Failure>) => ResultAsync<Value, Failure>;
 
-/** The same client, with outages told. */
+/** Wraps the client so that the start and end of an outage are reported. */
 export function tellOutages(
   client: KeyValueClient,
   emit: Telemetry['emit'],
   nowMs: ReadClock,
 ): KeyValueClient {
-  const watch = createOutageWatch();
+  const outageWatch = createOutageWatch();
   const observe: Observe = (call) =>
     call
       .map((value) => {
-        succeeded(watch, emit, nowMs());
+        recordSuccess(outageWatch, emit, nowMs());
         return value;
       })
       .mapErr((failure) => {
-        // A lapsed lease is an answer, and a sound one.
-        if (KEY_VALUE_LEASE_GONE.is(failure)) succeeded(watch, emit, nowMs());
-        else failed(watch, emit, nowMs(), failure);
+        // An expired lease is a valid answer: the service is available.
+        if (KEY_VALUE_LEASE_GONE.is(failure)) recordSuccess(outageWatch, emit, nowMs());
+        else recordFailure(outageWatch, emit, nowMs(), failure);
         return failure;
       });
   return {
@@ -48,20 +48,20 @@
   };
 }
 
-function succeeded(watch: OutageWatch, emit: Telemetry['emit'], nowMs: number): void {
-  const { outSinceMs } = watch;
-  if (noteSuccess(watch) !== OutageChange.Ended || outSinceMs === null) return;
+function recordSuccess(outageWatch: OutageWatch, emit: Telemetry['emit'], nowMs: number): void {
+  const { outSinceMs } = outageWatch;
+  if (noteSuccess(outageWatch) !== OutageChange.Ended || outSinceMs === null) return;
   const figures = { outMs: Math.round(nowMs - outSinceMs) };
   emit({ kind: EventKind.KeyValueBack, reason: 'a call was answered again', figures });
 }
 
-function failed(
-  watch: OutageWatch,
+function recordFailure(
+  outageWatch: OutageWatch,
   emit: Telemetry['emit'],
   nowMs: number,
   failure: Failure,
 ): void {
-  if (noteFailure(watch, nowMs) !== OutageChange.Began) return;
-  const figures = { failures: watch.failuresInRow };
+  if (noteFailure(outageWatch, nowMs) !== OutageChange.Began) return;
+  const figures = { failures: outageWatch.failuresInRow };
   emit({ kind: EventKind.KeyValueOutage, reason: failure.message, figures });
 }
--- a/packages/daemon/src/node/logging.ts
+++ b/packages/daemon/src/node/logging.ts
@@ -1,7 +1,7 @@
-/** The process's log: one JSON object a line, lines only for changes of state. */
+/** The log of the process: one JSON object per line, written only for changes of state. */
 import { type ConsolaInstance, LogLevels, createConsola } from 'consola/basic';
 
-/** Levels a settings file may name. */
+/** Log levels that a settings file can select. */
 export type LogLevelName = 'silent' | 'error' | 'warn' | 'info' | 'debug';
 
 const LEVELS: Readonly<Record<LogLevelName, number>> = {
@@ -12,7 +12,7 @@
   debug: LogLevels.debug,
 };
 
-/** Makes a log that writes JSON lines, tagged with the member's id. */
+/** Creates a log that writes JSON lines, each with the member's id. */
 export function createLog(
   level: LogLevelName,
   process: string,
--- a/packages/daemon/src/node/membership-driver.ts
+++ b/packages/daemon/src/node/membership-driver.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the membership machine: gives it time and datagrams, sends what it wants sent, and tells
- * the rest of the process which members there are.
+ * Runs the membership state machine: feeds it ticks and datagrams, executes its effects, and
+ * notifies the rest of the process of changes of members.
  */
 import {
   type Failure,
@@ -41,13 +41,13 @@
 import type { Telemetry } from './telemetry.js';
 
 const SYNC_TIMEOUT_MS = 2_000;
-/** The longest sleep; the machine asks for shorter ones as it needs them. */
+/** The longest time between ticks; the state machine requests earlier ticks as it needs them. */
 const MAX_SLEEP_MS = 1_000;
 const MIN_SLEEP_MS = 5;
-/** Time for the last word of a leaving member to go out. */
-const FAREWELL_MS = 50;
+/** Time for the last announcement of a leaving member to be sent before its socket closes. */
+const LEFT_ANNOUNCEMENT_MS = 50;
 
-/** What the driver needs. */
+/** Dependencies of the driver. */
 export interface MembershipDriverOptions {
   readonly self: SelfDescription;
   readonly peers: readonly string[];
@@ -59,7 +59,7 @@
   readonly telemetry: Telemetry;
   readonly hints: () => Hints;
   readonly onHints: (from: string, hints: Hints, askedAtMs: number | null) => void;
-  /** Called after a member came, went or changed. */
+  /** Called after a member joined, left or changed. */
   readonly onMembers: (changed: Member) => void;
 }
 
@@ -68,16 +68,16 @@
   readonly child: Child;
   readonly receive: (from: string, method: string, params: unknown) => void;
   readonly answerSync: (request: SyncRequest) => Result<SyncAnswer, Failure>;
-  /** Members that count for placement: alive, suspect or leaving, this process among them. */
+  /** Members that are alive, suspect or leaving, including this process. */
   readonly present: () => readonly Member[];
   readonly find: (memberId: string) => Member | undefined;
-  /** All known members, the remembered dead ones among them. */
+  /** All known members, including dead ones that are still stored. */
   readonly all: () => readonly Member[];
   readonly state: MembershipState;
   readonly announceLeaving: () => void;
 }
 
-/** Makes the driver; the machine exists at once, time runs while the child is started. */
+/** Creates the driver. The state exists immediately; ticks run only while the child is started. */
 export function createMembershipDriver(options: MembershipDriverOptions): MembershipDriver {
   const { hashing, random } = options;
   const context = (): MembershipContext => ({
@@ -184,7 +184,7 @@
         if (timer !== null) clearTimeout(timer);
         timer = null;
         perform(announceLeft(state, context()));
-        await new Promise((resolve) => setTimeout(resolve, FAREWELL_MS));
+        await new Promise((resolve) => setTimeout(resolve, LEFT_ANNOUNCEMENT_MS));
       },
     },
   };
--- a/packages/daemon/src/node/metrics-text.ts
+++ b/packages/daemon/src/node/metrics-text.ts
@@ -6,7 +6,7 @@
 const QUANTILES = [0.5, 0.95, 0.99] as const;
 const PERCENT = 100;
 
-/** What is written. */
+/** The metrics of a process, by name without the prefix. */
 export interface Metrics {
   readonly counters: ReadonlyMap<string, number>;
   readonly gauges: ReadonlyMap<string, number>;
@@ -14,7 +14,7 @@
   readonly histograms: ReadonlyMap<string, Histogram>;
 }
 
-/** Built at each scrape, so that recording costs nothing but the map and the histogram. */
+/** Builds the text at each scrape, so that recording only updates a map or a histogram. */
 export function writeMetrics({
   counters,
   gauges,
--- a/packages/daemon/src/node/networks.ts
+++ b/packages/daemon/src/node/networks.ts
@@ -1,20 +1,20 @@
-/** Which networks may use a port: a connection from elsewhere is closed before a byte is read. */
+/** Restricts a port to certain networks. Other connections are closed before a byte is read. */
 import { BlockList } from 'node:net';
 
 const MAPPED_PREFIX = '::ffff:';
 
-/** Says whether an address may connect. */
+/** Returns whether an address may connect. */
 export type AllowsAddress = (remoteAddress: string | undefined) => boolean;
 
 /**
- * The family of an address, of which only IPv6 has colons. The runtime's own check compiles a long
- * pattern when it is first asked, which is felt at each start.
+ * Returns the family of an address; only IPv6 addresses contain colons. Node's own check
+ * compiles a long regular expression on its first call, which slows down every process start.
  */
 function familyOf(address: string): 'ipv4' | 'ipv6' {
   return address.includes(':') ? 'ipv6' : 'ipv4';
 }
 
-/** Allows the addresses of the given CIDR networks. */
+/** Creates a check that allows the addresses of the given CIDR networks. */
 export function allowNetworks(networks: readonly string[]): AllowsAddress {
   const allowed = new BlockList();
   for (const network of networks) {
--- a/packages/daemon/src/node/placement-driver.ts
+++ b/packages/daemon/src/node/placement-driver.ts
@@ -1,6 +1,7 @@
 /**
- * Placement kept in step with membership: who holds a key, who batches its claims, who watches.
- * Rebuilt at most once per change, so that a choice costs one pass over prepared hashes.
+ * Selects members by the current membership: the holders of a key, the member that batches its
+ * claims, and the watchers. The placement is rebuilt at most once per membership change, so a
+ * lookup is one pass over precomputed hashes.
  */
 import {
   type Hash32,
@@ -14,22 +15,22 @@
   watcherOf,
 } from '@cassiamast/coordination';
 
-/** Claims are spread over this many batching members: some 16 transactions of 5 ms and more. */
+/** Number of members that batch claims: about 16 concurrent transactions of 5 ms and more. */
 const CLAIM_SHARDS = 16;
 
-/** Choices among the present members. */
+/** Selects among the current members. */
 export interface PlacementDriver {
-  /** As if the members in `without` were not there, where that is given. */
+  /** Returns the holders of a key, computed without the members in `without`. */
   readonly holdersOf: (keyText: string, without?: ReadonlySet<string>) => readonly string[];
   readonly aggregatorOf: (keyText: string) => string | null;
   readonly watcherOf: (kind: string, failureDomain: string) => string | null;
-  /** The members that keys are placed at. */
+  /** The members that keys are placed on. */
   readonly placed: () => readonly Member[];
-  /** To be called when a member came, went or changed. */
+  /** Must be called when a member joined, left or changed. */
   readonly membersChanged: () => void;
 }
 
-/** Makes the choices; `present` lists the members that are not dead. */
+/** Creates the driver; `present` lists the members that are not dead. */
 export function createPlacementDriver(
   present: () => readonly Member[],
   hash32: Hash32,
@@ -37,7 +38,7 @@
   let placement: Placement | null = null;
 
   function current(): Placement {
-    placement ??= createPlacement(present().filter(takesPlacement), hash32);
+    placement ??= createPlacement(present().filter(canHoldKeys), hash32);
     return placement;
   }
 
@@ -47,7 +48,7 @@
         ? holdersOf(current(), keyText)
         : holdersWithout(current(), keyText, without),
     aggregatorOf: (keyText) => claimAggregatorOf(current(), keyText, CLAIM_SHARDS),
-    placed: () => present().filter(takesPlacement),
+    placed: () => present().filter(canHoldKeys),
     watcherOf: (kind, failureDomain) => watcherOf(current(), kind, failureDomain),
     membersChanged: () => {
       placement = null;
@@ -56,9 +57,10 @@
 }
 
 /**
- * A leaving member is no place for new records: its own are copied to their new holders while it
- * still answers. A suspect one still is, since most suspicions turn out false.
+ * Returns whether keys may be placed on a member. Leaving members are excluded, so their records
+ * are copied to the new holders while they still answer. Suspect members are included, since most
+ * suspicions turn out to be false.
  */
-function takesPlacement(member: Member): boolean {
+function canHoldKeys(member: Member): boolean {
   return member.state === MemberState.Alive || member.state === MemberState.Suspect;
 }
--- a/packages/daemon/src/node/poison-driver.ts
+++ b/packages/daemon/src/node/poison-driver.ts
@@ -1,7 +1,7 @@
 /**
- * Runs the work on the ledger of contents that crash targets, and keeps what this process knows of
- * suspects. News of a suspect goes to every member at once: crashes are rare, and a second target
- * must not be lost to the same content while the news travels.
+ * Maintains the ledger of request contents that crash targets, and the suspicions known to this
+ * process. A new suspicion is sent to every member at once: crashes are rare, and the same content
+ * must not crash a second target before the suspicion has spread.
  */
 import {
   DEFAULT_POISON_OPTIONS,
@@ -38,19 +38,19 @@
 const TICK_MS = 100;
 const PROBE_TIMEOUT_MS = 1_000;
 const MAX_SUSPICIONS = 4_096;
-const MAX_PEERS_ASKED = 5;
+const MAX_PEERS_CALLED = 5;
 
 /** A reply to a request for a lone run. */
 export type LoneRunReply = Extract<PoisonEffect, { kind: PoisonEffectKind.LoneRunReplied }>;
 
-/** Answer to `suspicion.read`. */
+/** The answer to `suspicion.read`. */
 export interface SuspicionAnswer {
   readonly isRead: boolean;
-  /** Crashed attempts by content. */
+  /** The ids of crashed attempts by content hash. */
   readonly contents: readonly (readonly [string, readonly string[]])[];
 }
 
-/** What the driver needs. */
+/** Dependencies of the driver. */
 export interface PoisonDriverOptions {
   readonly nowMs: () => number;
   readonly random: Random;
@@ -65,23 +65,23 @@
   readonly onSuspicion: (bodyHash: string, isSuspect: boolean) => void;
 }
 
-/** Work on the ledger. */
+/** Access to the ledger and to the suspicions of this process. */
 export interface PoisonDriver {
   readonly child: Child;
   readonly ask: (id: string, work: PoisonWork) => void;
   readonly suspicionOf: (bodyHash: string) => Suspicion;
-  /** A crash that this process saw itself: known here before the ledger has it. */
+  /** Records a crash that this process observed, before the ledger contains it. */
   readonly noteCrash: (bodyHash: string, attemptId: string) => void;
-  /** Takes in news that came in a datagram. */
+  /** Applies a suspicion that arrived in a datagram. */
   readonly heard: (params: unknown) => void;
-  /** What a peer is given that can not read the ledger. */
+  /** Returns the known suspicions for a peer that can't read the ledger. */
   readonly answerRead: () => SuspicionAnswer;
-  /** Reads the ledger of these services: a fresh process must not run a known suspect in a batch. */
+  /** Reads the ledger of these services, so that a new process runs no known suspect in a batch. */
   readonly readLedger: (services: readonly string[]) => Promise<void>;
   readonly isRead: () => boolean;
 }
 
-/** Makes the driver. */
+/** Creates the driver. */
 export function createPoisonDriver(options: PoisonDriverOptions): PoisonDriver {
   const { keyValue, rpc, telemetry } = options;
   const state = createPoisonClient();
@@ -142,12 +142,12 @@
     const answer = await rpc.call<LoneProbe>(place.sidecar, RpcMethod.LoneRunProbe, message, {
       timeoutMs: PROBE_TIMEOUT_MS,
     });
-    // A silent sidecar that membership still believes alive may be paused with the run in it.
-    const silent = options.mayBeAlive(place.sidecar) ? LoneProbe.Running : LoneProbe.Gone;
-    handle({ kind: PoisonEventKind.Probed, id, probe: answer.unwrapOr(silent) });
+    // A sidecar that does not answer but is not known to be dead may be paused during the run.
+    const unansweredProbe = options.mayBeAlive(place.sidecar) ? LoneProbe.Running : LoneProbe.Gone;
+    handle({ kind: PoisonEventKind.Probed, id, probe: answer.unwrapOr(unansweredProbe) });
   }
 
-  function take(bodyHash: string, crashedAttemptIds: readonly string[]): void {
+  function applySuspicion(bodyHash: string, crashedAttemptIds: readonly string[]): void {
     const isSuspect = crashedAttemptIds.length > 0;
     if (isSuspect) noteCrashes(suspicions, bodyHash, crashedAttemptIds, false);
     else clearSuspicion(suspicions, bodyHash);
@@ -155,13 +155,13 @@
   }
 
   function announce(bodyHash: string, crashedAttemptIds: readonly string[]): void {
-    take(bodyHash, crashedAttemptIds);
+    applySuspicion(bodyHash, crashedAttemptIds);
     for (const member of options.present()) {
       options.sendDatagram(member.id, RpcMethod.SuspicionNote, [bodyHash, crashedAttemptIds]);
     }
   }
 
-  /** The ledger of all services, or null when the key-value service does not give it. */
+  /** Returns the ledger of the services, or null if the key-value service is unavailable. */
   async function listLedger(services: readonly string[]): Promise<LedgerSnapshot | null> {
     const ledger = new Map<string, readonly string[]>();
     for (const service of services) {
@@ -176,10 +176,10 @@
     return ledger;
   }
 
-  /** In an outage a process that starts takes the word of a peer that had read the ledger. */
-  async function askPeer(): Promise<void> {
+  /** During an outage, copies the suspicions of a peer that has read the ledger. */
+  async function readFromPeer(): Promise<void> {
     if (suspicions.isRead) return;
-    for (const peer of options.present().slice(0, MAX_PEERS_ASKED)) {
+    for (const peer of options.present().slice(0, MAX_PEERS_CALLED)) {
       const answer = await rpc.call<SuspicionAnswer>(
         peer.id,
         RpcMethod.SuspicionRead,
@@ -189,12 +189,12 @@
         },
       );
       if (answer.isErr() || !answer.value.isRead) continue;
-      takeLedger(new Map(answer.value.contents), null);
+      applyLedger(new Map(answer.value.contents), null);
       return;
     }
   }
 
-  function takeLedger(ledger: LedgerSnapshot, service: string | null): void {
+  function applyLedger(ledger: LedgerSnapshot, service: string | null): void {
     const { cleared, unwritten } = readLedger(suspicions, ledger);
     for (const [bodyHash] of ledger) options.onSuspicion(bodyHash, true);
     for (const bodyHash of cleared) options.onSuspicion(bodyHash, false);
@@ -215,20 +215,20 @@
     suspicionOf: (bodyHash) =>
       suspicionOf(suspicions, bodyHash, DEFAULT_POISON_OPTIONS.isConvicted),
     noteCrash: (bodyHash, attemptId) => {
-      take(bodyHash, [attemptId]);
+      applySuspicion(bodyHash, [attemptId]);
     },
     heard: (params) => {
       const [bodyHash, attemptIds] = Array.isArray(params) ? (params as unknown[]) : [];
       if (typeof bodyHash !== 'string' || !Array.isArray(attemptIds)) return;
-      take(bodyHash, attemptIds.map(String));
+      applySuspicion(bodyHash, attemptIds.map(String));
     },
     answerRead: () => ({ isRead: suspicions.isRead, contents: [...snapshotOf(suspicions)] }),
     readLedger: async (services) => {
       const [first] = services;
       if (first === undefined) return;
       const ledger = await listLedger(services);
-      if (ledger === null) await askPeer();
-      else takeLedger(ledger, first);
+      if (ledger === null) await readFromPeer();
+      else applyLedger(ledger, first);
     },
     isRead: () => suspicions.isRead,
     child: createPeriodic(
--- a/packages/daemon/src/node/process-status.ts
+++ b/packages/daemon/src/node/process-status.ts
@@ -1,4 +1,4 @@
-/** The part of a process's status that both kinds have. */
+/** Builds the part of the status that all kinds of daemon processes share. */
 import {
   type Member,
   type MemberKind,
@@ -12,7 +12,7 @@
 import type { MembershipDriver } from './membership-driver.js';
 import type { Telemetry } from './telemetry.js';
 
-/** Where the status is read from. */
+/** Sources of the status. */
 export interface ProcessStatusOptions {
   readonly memberId: string;
   readonly kind: MemberKind;
@@ -27,7 +27,7 @@
   readonly services: () => readonly ServiceStatus[];
 }
 
-/** Answers `status.read`. */
+/** Returns the answer to `status.read`. */
 export function readStatus(options: ProcessStatusOptions, query: StatusQuery): ProcessStatus {
   const members = options.membership.all();
   return {
--- a/packages/daemon/src/node/reachable.ts
+++ b/packages/daemon/src/node/reachable.ts
@@ -1,10 +1,11 @@
 /**
- * Whether a VM is there at all. Its kernel takes a connection however busy the process behind it is;
- * one without power, frozen or cut off takes none, and one whose process died resets it.
+ * Checks whether a VM is live by opening a TCP connection. The kernel accepts it however busy the
+ * process is. A VM that is powered off, frozen or disconnected accepts none, and a VM whose process
+ * has died resets it.
  */
 import { connect } from 'node:net';
 
-/** Says whether a connection to `host:port` is taken within a time. */
+/** Returns whether a connection to `host:port` is accepted within `withinMs`. */
 export type IsReachable = (address: string, withinMs: number) => Promise<boolean>;
 
 /** Opens a connection and closes it again. */
@@ -13,21 +14,21 @@
     const separator = address.lastIndexOf(':');
     const host = address.slice(0, separator);
     const socket = connect({ host, port: Number(address.slice(separator + 1)) });
-    const finish = (reached: boolean): void => {
+    const settle = (reached: boolean): void => {
       clearTimeout(timer);
       socket.destroy();
       resolve(reached);
     };
-    // After what has come in meanwhile: timers of a process that had no processor go first.
+    // Pending I/O events run first: after an event loop stall, timers fire before them.
     const timer = setTimeout(() => {
       setImmediate(() => {
-        finish(false);
+        settle(false);
       });
     }, withinMs);
     socket.once('connect', () => {
-      finish(true);
+      settle(true);
     });
     socket.once('error', () => {
-      finish(false);
+      settle(false);
     });
   });
--- a/packages/daemon/src/node/rpc-client.ts
+++ b/packages/daemon/src/node/rpc-client.ts
@@ -1,6 +1,6 @@
 /**
- * Calling members. One pool of kept-alive connections for all calls; every call has a timeout, and
- * none is retried here: whether that is safe is the caller's decision.
+ * Calls other members over one pool of keep-alive connections. Every call has a timeout. Calls are
+ * not retried here, since only the calling code knows whether a retry is safe.
  */
 import type { Failure } from '@cassiamast/coordination';
 import {
@@ -21,9 +21,9 @@
 
 const CONNECT_TIMEOUT_MS = 1_000;
 const KEEP_ALIVE_MS = 30_000;
-/** Streams between one entry and one sidecar; each stream has its own connection. */
+/** Limits the streams between one entry and one sidecar; each stream has its own connection. */
 const MAX_CONNECTIONS_PER_MEMBER = 256;
-/** A configuration document of 1 MB as JSON in JSON, with room to spare. */
+/** Fits a configuration document of 1 MB that is escaped as JSON within JSON. */
 const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
 const OK = 200;
 
@@ -32,14 +32,14 @@
   readonly timeoutMs: number;
 }
 
-/** What a stream of a member brings; `onEnd` or `onFailure` comes once, last. */
+/** Callbacks for the messages of a stream. The last call is one of `onResult` or `onFailure`. */
 export interface MemberStreamHandlers {
   readonly onNotification: (method: string, params: unknown) => void;
   readonly onResult: (result: unknown) => void;
   readonly onFailure: (failure: Failure) => void;
 }
 
-/** A stream being read. */
+/** An open stream. */
 export interface MemberStream {
   readonly close: () => void;
   /** Stops reading, so that the peer's socket fills and it stops sending. */
@@ -64,7 +64,7 @@
   readonly close: () => Promise<void>;
 }
 
-/** Makes a client that proves its membership with every call; `clock` orders the time line. */
+/** Creates a client that authenticates every call; `clock` orders events on the time line. */
 export function createRpcClient(proof: MemberProof, clock: MessageClock): RpcClient {
   const transport = createHttpTransport({
     connectTimeoutMs: CONNECT_TIMEOUT_MS,
@@ -108,7 +108,7 @@
   };
 }
 
-/** Reads a stream's events until its result or error; an end before either is a broken stream. */
+/** Reads the events of a stream until its result or error; an earlier end is a failure. */
 function readStream(
   transport: HttpTransport,
   request: HttpRequest,
@@ -116,9 +116,9 @@
   clock: MessageClock,
   failureOf: (trouble: Pick<Trouble, 'mayHaveRun' | 'detail'>) => Failure,
 ): MemberStream {
-  const refusal: Buffer[] = [];
+  const rejectionBody: Buffer[] = [];
   const decoder = new TextDecoder();
-  let isRefused = false;
+  let isRejected = false;
   let ended = false;
   const fail = (detail: string): void => {
     if (ended) return;
@@ -130,30 +130,30 @@
       if (!ended) ended = deliver(JSON.parse(event.data) as unknown, handlers);
     },
   });
-  const running = transport.stream(request, {
+  const openStream = transport.stream(request, {
     onStart: (status, headers) => {
-      isRefused = status !== OK;
+      isRejected = status !== OK;
       clock.hear(headers[HYBRID_TIME_HEADER]);
     },
     onData: (chunk) => {
-      if (isRefused) {
-        refusal.push(chunk);
+      if (isRejected) {
+        rejectionBody.push(chunk);
         return;
       }
       try {
         parser.feed(decoder.decode(chunk, { stream: true }));
       } catch (error) {
-        running.stop();
+        openStream.stop();
         fail(String(error));
       }
     },
     onEnd: () => {
-      if (!isRefused) {
+      if (!isRejected) {
         fail('the stream ended before its result');
         return;
       }
       ended = true;
-      const failure = parseFailure(Buffer.concat(refusal));
+      const failure = parseFailure(Buffer.concat(rejectionBody));
       handlers.onFailure(failure ?? failureOf({ mayHaveRun: false, detail: 'refused' }));
     },
     onTrouble: (trouble) => {
@@ -165,14 +165,14 @@
   return {
     close: () => {
       ended = true;
-      running.stop();
+      openStream.stop();
     },
-    pause: running.pause,
-    resume: running.resume,
+    pause: openStream.pause,
+    resume: openStream.resume,
   };
 }
 
-/** Hands one message on; says whether it was the last. */
+/** Passes one message to its handler; returns whether it was the last one. */
 function deliver(message: unknown, handlers: MemberStreamHandlers): boolean {
   if (!isJSONRPCResponse(message)) {
     const { method, params } = message as { method: string; params: unknown };
@@ -196,7 +196,7 @@
     const failure = data as Failure | undefined;
     return errAsync(failure ?? unreachable(member, method, { mayHaveRun: true, detail: message }));
   }
-  // A call that is turned away is answered by a bare failure.
+  // The server answers a rejected call with a failure instead of a JSON-RPC response.
   const detail = 'no JSON-RPC answer';
   return errAsync(parseFailure(body) ?? unreachable(member, method, { mayHaveRun: true, detail }));
 }
