--- a/packages/daemon/src/node/run-process.ts
+++ b/packages/daemon/src/node/run-process.ts
@@ -1,12 +1,13 @@
 /**
- * Runs a process: it is started, may be told to read its settings anew, and stops once, however often
- * and for whatever reason. Signals are handled before anything is started, and their handlers stay:
- * the default action of a signal ends a process in the middle of its answers.
+ * Runs the life cycle of a process: starts it, reloads its settings on SIGHUP, and stops it exactly
+ * once, whatever the number and the reasons of the stop requests. Signal handlers are installed
+ * before the start and never removed, because the default action of a signal would end the process
+ * in the middle of its responses.
  */
 import type { EventEmitter } from 'node:events';
 import { type Failure, FailureError } from '@cassiamast/coordination';
 
-/** Exit codes. */
+/** Exit codes of a process. */
 export enum ExitCode {
   Stopped = 0,
   Failed = 1,
@@ -15,81 +16,81 @@
 
 /** Why a process stops. */
 export enum StopReason {
-  /** A signal asked for it. */
+  /** A stop signal arrived. */
   Requested = 'requested',
-  /** A part of it failed for good, or an error was caught nowhere. */
+  /** A part of the process failed permanently, or an exception was not caught. */
   Failed = 'failed',
 }
 
-/** A process that runs. */
+/** A running process. */
 export interface StoppableProcess {
   /** Resolves when the process may exit. */
   readonly stop: (reason: StopReason) => Promise<void>;
-  /** Reads the settings anew; left out where they are read once. */
+  /** Reloads the settings; absent if they are read only once. */
   readonly reload?: () => void;
 }
 
-/** Told when a part of the process keeps failing. */
+/** Called when a part of the process keeps failing. */
 export type OnFailure = (failure: Failure) => void;
 
-/** Takes back what a process that has not started yet has told others. */
+/** Withdraws what a process has announced to others before it finished starting. */
 export type TakeBack = () => Promise<void>;
 
-/** What a process does. */
+/** How a process starts, stops and reports. */
 export interface ProcessOptions {
-  /** `onTold` hands over what a stop has to take back that comes before `start` resolves. */
+  /** `onTold` registers what a stop must withdraw if it comes before `start` resolves. */
   readonly start: (
     onFailure: OnFailure,
-    onTold: (takeBack: TakeBack) => void,
+    onTold: (withdraw: TakeBack) => void,
   ) => Promise<StoppableProcess>;
-  /** Whether it may have work before `start` resolves; a stop then waits for that. */
+  /** Whether the process may have work before `start` resolves; a stop then waits for the start. */
   readonly worksWhileStarting: boolean;
   readonly stopSignals: readonly NodeJS.Signals[];
-  /** Says what went wrong; `done` is called when it is written. */
+  /** Writes an error message; `done` is called once it is written. */
   readonly report: (message: string, done: () => void) => void;
   readonly exit: (code: ExitCode) => void;
 }
 
-/** A stop that has nothing to drain waits so long for what is taken back. */
-const TAKE_BACK_MOST_MS = 1000;
+/** How long a stop during the start waits for announcements to be withdrawn. */
+const WITHDRAWAL_TIMEOUT_MS = 1000;
 
-/** Runs a process until it exits; `source` emits its signals and errors that nothing caught. */
+/** Runs a process until it exits; `source` emits its signals and uncaught exceptions. */
 export function runProcess(source: Pick<EventEmitter, 'on'>, options: ProcessOptions): void {
   const { start, worksWhileStarting, stopSignals, report, exit } = options;
   let running: StoppableProcess | null = null;
   let code = ExitCode.Stopped;
   let stopReason: StopReason | null = null;
-  let takeBack: TakeBack = () => Promise.resolve();
+  let withdraw: TakeBack = () => Promise.resolve();
 
   function stop(reason: StopReason): void {
     if (stopReason !== null) return;
     stopReason = reason;
     if (running !== null) void stopRunning(running, reason);
-    else if (!worksWhileStarting) exitAfterTakingBack();
+    else if (!worksWhileStarting) exitAfterWithdrawal();
   }
 
   /**
-   * Guards against an announcement that outlives its process: it shows as others that ask a process
-   * which is gone, until its lease lapses. A process that has started meanwhile stops like any other.
+   * Withdraws announcements, then exits. Without it, others would call a process that has exited
+   * until its lease expires. A process that finishes starting in the meantime is stopped as usual.
    */
-  function exitAfterTakingBack(): void {
-    let hasEnded = false;
-    const end = (leave: () => void): void => {
+  function exitAfterWithdrawal(): void {
+    let hasExited = false;
+    const finish = (exitProcess: () => void): void => {
       clearTimeout(timer);
-      if (hasEnded || running !== null) return;
-      hasEnded = true;
-      leave();
+      if (hasExited || running !== null) return;
+      hasExited = true;
+      exitProcess();
     };
-    const leave = (): void => {
+    const exitProcess = (): void => {
       exit(code);
     };
-    const timer = setTimeout(end, TAKE_BACK_MOST_MS, leave);
-    takeBack().then(
+    const timer = setTimeout(finish, WITHDRAWAL_TIMEOUT_MS, exitProcess);
+    withdraw().then(
       () => {
-        end(leave);
+        finish(exitProcess);
       },
       (error: unknown) => {
-        end(() => {
+        finish(() => {
           exitAfter(error);
         });
       },
@@ -106,7 +107,7 @@
     exit(code);
   }
 
-  /** Reports what ends the process, or kept it from starting. */
+  /** Reports the error that ends the process or prevented its start, then exits. */
   function exitAfter(error: unknown): void {
     code = ExitCode.Failed;
     report(describe(error), () => {
@@ -114,7 +115,7 @@
     });
   }
 
-  /** Stops gracefully: a failure of one part need not cut the work of the others. */
+  /** Stops gracefully, since a failure of one part need not interrupt the work of the others. */
   function fail(error: unknown): void {
     if (running === null) {
       exitAfter(error);
@@ -138,8 +139,8 @@
     (failure) => {
       fail(new FailureError(failure));
     },
-    (told) => {
-      takeBack = told;
+    (withdrawAnnouncements) => {
+      withdraw = withdrawAnnouncements;
     },
   ).then((started) => {
     running = started;
@@ -152,7 +153,7 @@
   return error instanceof Error ? (error.stack ?? error.message) : String(error);
 }
 
-/** A failure in the words of its catalogue entry, and what to do. */
+/** Formats a failure: its title, its message and the hint on what to do. */
 export function describeFailure({ title, message, hint }: Failure): string {
   return `${title}: ${message}\n${hint}`;
 }
--- a/packages/daemon/src/node/secret.ts
+++ b/packages/daemon/src/node/secret.ts
@@ -1,23 +1,24 @@
 /**
- * The members' shared secret: a bearer token on HTTP, a keyed digest on datagrams. Compared in
- * constant time, so that response times do not tell how much of a guess was right.
+ * Authenticates members by their shared secret: a bearer token on HTTP, a message authentication
+ * code on datagrams. Comparisons take constant time, so response times don't show how much of a
+ * guess was right.
  */
 import { createHash, createHmac, timingSafeEqual } from 'node:crypto';
 
 const BEARER = 'Bearer ';
-/** 96 bits: forging one takes longer than a secret's life, and it costs 16 characters a datagram. */
+/** 96 bits: a forgery takes longer than the lifetime of a secret, at 16 characters per datagram. */
 const MAC_CHARACTERS = 16;
 
-/** Signs and checks what members send each other. */
+/** Authenticates the messages between members. */
 export interface MemberProof {
   readonly header: string;
   readonly isMember: (authorization: string | undefined) => boolean;
   readonly seal: (text: string) => string;
-  /** The sealed text, or null when it was not sealed with the same secret. */
+  /** Returns the text without its code, or null if it was sealed with another secret. */
   readonly open: (sealed: string) => string | null;
 }
 
-/** Makes the proof of one secret. */
+/** Creates the authentication for a secret. */
 export function createMemberProof(secret: string): MemberProof {
   const expected = digest(BEARER + secret);
   const mac = (text: string): string =>
--- a/packages/daemon/src/node/standstill.ts
+++ b/packages/daemon/src/node/standstill.ts
@@ -1,67 +1,68 @@
 /**
- * Notices that this process stood still: its VM had no processor for it, it was suspended, or its own
- * work took long. What came in meanwhile is read afterwards, one thing after the other, so what is read
- * first is not what is true by then.
+ * Detects event loop stalls: the VM gave the process no CPU time, the process was suspended, or its
+ * own work took long. Events that arrive during a stall are read one after the other afterwards, so
+ * the first ones read are already outdated.
  */
-import { setImmediate as turnLoop } from 'node:timers/promises';
+import { setImmediate as nextLoopTurn } from 'node:timers/promises';
 import type { Child } from '../supervisor/supervisor.js';
 
-/** How often the process notes that it runs. */
-const BEAT_MS = 50;
-/** A process that has not run for so long stood still. */
+/** Interval of the check for stalls. */
+const CHECK_INTERVAL_MS = 50;
+/** The shortest time without a turn of the event loop that counts as a stall. */
 const STANDSTILL_MS = 150;
-/** After a standstill, what had come in is read within that: connections are accepted a few a turn. */
+/** Time to read pending events after a stall; the loop accepts only a few connections per turn. */
 const CATCH_UP_MS = 200;
-/** Turns of the loop from a request to its caller's close: the end of the connection lies between. */
+/** Turns of the event loop between reading a request and reading its caller's close. */
 const TURNS_TO_CLOSE = 4;
 
-/** What a process knows of its standstills. */
+/** Detects stalls of this process. */
 export interface StandstillWatch {
   readonly child: Child;
   /**
-   * Since when events may have waited that are read now: the time of its last turn in a process that
-   * is behind, else the present.
+   * Returns since when events that are read now may have been pending: the time of the last turn
+   * before the stall while the process catches up, otherwise the current time.
    */
   readonly unreadSinceMs: () => number;
   /**
-   * Resolves when the close of a connection would have been read on which something was read just
-   * now; null in a process that is not behind.
+   * Resolves after the event loop had enough turns to read the close of a connection on which data
+   * was read just now. Returns null if the process is not catching up after a stall.
    */
   readonly catchUp: () => Promise<void> | null;
   /**
-   * Runs what a timer has come for: at once, or when what came in meanwhile was read. A late timer
-   * fires before that, and takes an answer that lies there for one that did not come.
+   * Runs the callback of a timer immediately, or after pending events were read if the process is
+   * catching up. Timers that are late fire before pending events are read, so an answer that has
+   * already arrived would otherwise be treated as missing.
    */
   readonly whenCaughtUp: (run: () => void) => void;
 }
 
-/** Makes the watch; `onStandstill` is told how long the process stood still. */
+/** Creates the watch; `onStandstill` receives the duration of each stall. */
 export function createStandstillWatch(
   nowMs: () => number,
   onStandstill: (forMs: number) => void,
 ): StandstillWatch {
   let timer: NodeJS.Timeout | null = null;
   let ranAtMs = nowMs();
-  /** The last turn before the last standstill, and until when it is felt. */
-  let standstill = { sinceMs: ranAtMs, feltUntilMs: ranAtMs };
+  /** The time of the last turn before the last stall, and until when the process catches up. */
+  let standstill = { sinceMs: ranAtMs, caughtUpAtMs: ranAtMs };
 
-  /** Also when no timer has fired yet: what came in may be read before timers run. */
-  function look(): void {
+  /** Checks for a stall. Also called on reads, since events may be read before the timer fires. */
+  function checkForStall(): void {
     const now = nowMs();
-    const beforeMs = ranAtMs;
+    const previousRunAtMs = ranAtMs;
     ranAtMs = now;
-    if (timer === null || now - beforeMs < STANDSTILL_MS) return;
-    standstill = { sinceMs: beforeMs, feltUntilMs: now + CATCH_UP_MS };
-    onStandstill(now - beforeMs);
+    if (timer === null || now - previousRunAtMs < STANDSTILL_MS) return;
+    standstill = { sinceMs: previousRunAtMs, caughtUpAtMs: now + CATCH_UP_MS };
+    onStandstill(now - previousRunAtMs);
   }
 
-  function isBehind(): boolean {
-    look();
-    return ranAtMs < standstill.feltUntilMs;
+  function isCatchingUp(): boolean {
+    checkForStall();
+    return ranAtMs < standstill.caughtUpAtMs;
   }
 
   function catchUp(): Promise<void> | null {
-    return isBehind() ? turnLoopTimes(TURNS_TO_CLOSE) : null;
+    return isCatchingUp() ? runLoopTurns(TURNS_TO_CLOSE) : null;
   }
 
   return {
@@ -69,7 +70,7 @@
       name: 'standstill-watch',
       start: () => {
         ranAtMs = nowMs();
-        timer = setInterval(look, BEAT_MS).unref();
+        timer = setInterval(checkForStall, CHECK_INTERVAL_MS).unref();
         return Promise.resolve();
       },
       stop: () => {
@@ -78,7 +79,7 @@
         return Promise.resolve();
       },
     },
-    unreadSinceMs: () => (isBehind() ? standstill.sinceMs : ranAtMs),
+    unreadSinceMs: () => (isCatchingUp() ? standstill.sinceMs : ranAtMs),
     catchUp,
     whenCaughtUp: (run) => {
       const caughtUp = catchUp();
@@ -88,6 +89,6 @@
   };
 }
 
-async function turnLoopTimes(times: number): Promise<void> {
-  for (let turn = 0; turn < times; turn += 1) await turnLoop();
+async function runLoopTurns(times: number): Promise<void> {
+  for (let turn = 0; turn < times; turn += 1) await nextLoopTurn();
 }
--- a/packages/daemon/src/node/telemetry.ts
+++ b/packages/daemon/src/node/telemetry.ts
@@ -1,6 +1,6 @@
 /**
- * What a process tells of itself: events on the time line, counters, gauges and histograms.
- * Counters come first; a log line is written only for events that change the process's state.
+ * Records the telemetry of a process: events on the time line, counters, gauges and histograms.
+ * Counters are preferred; a log line is written only for events that change the process's state.
  */
 import type { UnstampedEvent } from '@cassiamast/coordination';
 import type { Histogram } from 'hdr-histogram-js';
@@ -8,31 +8,31 @@
 const HIGHEST_TRACKABLE_MS = 3_600_000;
 const PERCENT = 100;
 
-/** Observes one process. */
+/** The telemetry of one process. */
 export interface Telemetry {
   readonly emit: (event: UnstampedEvent) => void;
   /** Adds to a counter; names are snake_case and end in `_total`. */
   readonly count: (name: string, by?: number) => void;
   /** Sets a value that goes up and down. */
   readonly gauge: (name: string, value: number) => void;
-  /** Sets a gauge that differs by target; targets that are left out have none any more. */
+  /** Sets the values of a gauge by target; targets that are not in the map lose their value. */
   readonly gaugeByTarget: (name: string, valueByTarget: ReadonlyMap<string, number>) => void;
   /** Records a duration; names are snake_case and end in `_ms`. */
   readonly record: (name: string, valueMs: number) => void;
   readonly counters: () => Readonly<Record<string, number>>;
   readonly gauges: () => Readonly<Record<string, number>>;
-  /** A quantile of a recorded duration, 0 when nothing was recorded. */
+  /** Returns a quantile of a recorded duration, or 0 if none was recorded. */
   readonly quantileMs: (name: string, quantile: number) => number;
-  /** Everything in the Prometheus text exposition format. */
+  /** Returns all metrics in the Prometheus text exposition format. */
   readonly metricsText: () => Promise<string>;
 }
 
-/** Makes an empty histogram that takes values up to a bound. */
+/** Creates an empty histogram for values up to `highestMs`. */
 export type NewHistogram = (highestMs: number) => Histogram;
 
 /**
- * Makes the telemetry of a process; `onEvent` puts events on the time line. Histograms are made only
- * where durations are recorded: a sidecar records none, and their library costs it megabytes.
+ * Creates the telemetry of a process; `onEvent` puts events on the time line. `newHistogram` is
+ * null in processes that record no durations, such as a sidecar: the library would cost megabytes.
  */
 export function createTelemetry(
   onEvent: (event: UnstampedEvent) => void,
@@ -68,7 +68,7 @@
     quantileMs: (name, quantile) =>
       histograms.get(name)?.getValueAtPercentile(quantile * PERCENT) ?? 0,
     metricsText: async () => {
-      // Loaded at the first scrape: a process that nobody scrapes does not carry the library.
+      // Loaded at the first scrape, so a process that is not scraped doesn't load the library.
       const { writeMetrics } = await import('./metrics-text.js');
       return writeMetrics({ counters, gauges, gaugesByTarget, histograms });
     },
--- a/packages/daemon/src/node/timeline.ts
+++ b/packages/daemon/src/node/timeline.ts
@@ -1,6 +1,6 @@
 /**
- * The time line of this process: a bounded ring of events, stamped with a hybrid logical clock whose
- * readings travel in a header of every call and answer between members.
+ * The time line of this process: a ring buffer of events with timestamps of a hybrid logical clock.
+ * Every call and answer between members carries a timestamp of the clock in a header.
  */
 import {
   type ReadClock,
@@ -19,18 +19,18 @@
   writeHybridTime,
 } from '@cassiamast/coordination';
 
-/** Header that carries the sender's reading. */
+/** Header that carries the sender's timestamp. */
 export const HYBRID_TIME_HEADER = 'x-hybrid-time';
 
-/** The clock as the transports use it. */
+/** The hybrid logical clock as the transports use it. */
 export interface MessageClock {
-  /** The reading to send with a message. */
+  /** Returns the timestamp to send with a message. */
   readonly now: () => string;
-  /** Takes in what came with a message; anything malformed is passed over. */
+  /** Merges the timestamp of a received message into the clock; ignores a malformed one. */
   readonly hear: (header: string | string[] | undefined) => void;
 }
 
-/** What `timeline.read` answers of the ring. */
+/** The part of the answer to `timeline.read` that comes from the ring buffer. */
 export interface TimelineReading {
   readonly events: readonly TimelineEvent[];
   readonly dropped: number;
@@ -44,7 +44,7 @@
   readonly clock: MessageClock;
 }
 
-/** Makes an empty time line. */
+/** Creates an empty time line. */
 export function createTimeline(process: string, capacity: number, wallMs: ReadClock): Timeline {
   const ring = createEventRing(capacity);
   const clock = createHybridClock();
--- a/packages/daemon/src/node/timers.ts
+++ b/packages/daemon/src/node/timers.ts
@@ -1,9 +1,9 @@
-/** Repeated work as a child of the supervisor tree. */
+/** Runs periodic work as a child of the supervisor tree. */
 import type { Child } from '../supervisor/supervisor.js';
 
 /**
- * Runs `work` every `everyMs` while started. Work that is still going on when its time comes again
- * is not started twice: a slow platform service must not pile calls up.
+ * Creates a child that runs `work` and waits `everyMs` after each run. Runs never overlap, so calls
+ * to a slow platform service don't accumulate.
  */
 export function createPeriodic(
   name: string,
@@ -13,18 +13,18 @@
   let timer: NodeJS.Timeout | null = null;
   let stopped = true;
 
-  async function turn(): Promise<void> {
+  async function runOnce(): Promise<void> {
     await work();
-    if (!stopped) timer = setTimeout(() => void turn(), everyMs());
+    if (!stopped) timer = setTimeout(() => void runOnce(), everyMs());
   }
 
   return {
     name,
-    // The first turn is not waited for: in an outage of the platform it takes seconds, and the parts
-    // that are started after this one must not wait for it.
+    // The first run is not awaited: during an outage of the platform it takes seconds, which would
+    // delay the start of the children after this one.
     start: () => {
       stopped = false;
-      void turn();
+      void runOnce();
       return Promise.resolve();
     },
     stop: () => {
--- a/packages/daemon/src/node/traffic-meter.ts
+++ b/packages/daemon/src/node/traffic-meter.ts
@@ -1,55 +1,55 @@
 /**
- * Counts every byte that the process's TCP sockets carry, headers of HTTP included, by which side of
- * the system they belong to. The sockets are found by Node's own diagnostics channels, so that no
- * transport has to be wrapped and none is forgotten.
+ * Counts the bytes that the TCP sockets of this process send and receive, including HTTP headers,
+ * except for excluded ports. Sockets are found through Node's diagnostics channels, so no transport
+ * has to be wrapped and none is missed.
  */
 import diagnosticsChannel from 'node:diagnostics_channel';
 import type { Socket } from 'node:net';
 
-/** IP and TCP headers of a segment, without options; a rough part of the whole. */
+/** IP and TCP headers of a segment, without options; used for a rough estimate. */
 const SEGMENT_HEADER_BYTES = 40;
 const SEGMENT_BYTES = 1_448;
 
-/** Bytes in and out since the start. */
+/** Bytes received and sent since the start. */
 export interface TrafficCounts {
   readonly receivedBytes: number;
   readonly sentBytes: number;
 }
 
-/** Meters the sockets of this process. */
+/** Measures the traffic of the sockets of this process. */
 export interface TrafficMeter {
   readonly read: () => TrafficCounts;
-  /** Leaves out the sockets to a port, such as that of the engine on the same VM. */
+  /** Excludes the sockets to a port, such as that of the engine on the same VM. */
   readonly leaveOut: (remotePort: number) => void;
   readonly stop: () => void;
 }
 
-/** Starts metering; sockets that exist already are not seen, so it comes first in a process. */
+/** Starts measuring. Must be called first in a process, since existing sockets are not counted. */
 export function startTrafficMeter(): TrafficMeter {
   const open = new Set<Socket>();
-  const leftOutPorts = new Set<number>();
+  const excludedPorts = new Set<number>();
   let receivedBytes = 0;
   let sentBytes = 0;
 
-  function take(message: unknown): void {
+  function trackSocket(message: unknown): void {
     const { socket } = message as { readonly socket: Socket };
     open.add(socket);
-    // The port is known once the socket is connected, and no more after it has closed.
-    let isLeftOut = false;
+    // The remote port is known only between connecting and closing.
+    let isExcluded = false;
     socket.once('connect', () => {
-      isLeftOut = leftOutPorts.has(socket.remotePort ?? 0);
-      if (isLeftOut) open.delete(socket);
+      isExcluded = excludedPorts.has(socket.remotePort ?? 0);
+      if (isExcluded) open.delete(socket);
     });
     socket.once('close', () => {
       open.delete(socket);
-      if (isLeftOut) return;
+      if (isExcluded) return;
       receivedBytes += socket.bytesRead;
       sentBytes += socket.bytesWritten;
     });
   }
 
-  diagnosticsChannel.subscribe('net.client.socket', take);
-  diagnosticsChannel.subscribe('net.server.socket', take);
+  diagnosticsChannel.subscribe('net.client.socket', trackSocket);
+  diagnosticsChannel.subscribe('net.server.socket', trackSocket);
   return {
     read: () => {
       let receivedNow = receivedBytes;
@@ -61,11 +61,11 @@
       return { receivedBytes: withHeaders(receivedNow), sentBytes: withHeaders(sentNow) };
     },
     leaveOut: (remotePort) => {
-      leftOutPorts.add(remotePort);
+      excludedPorts.add(remotePort);
     },
     stop: () => {
-      diagnosticsChannel.unsubscribe('net.client.socket', take);
-      diagnosticsChannel.unsubscribe('net.server.socket', take);
+      diagnosticsChannel.unsubscribe('net.client.socket', trackSocket);
+      diagnosticsChannel.unsubscribe('net.server.socket', trackSocket);
     },
   };
 }
--- a/packages/daemon/src/node/vm-list-driver.ts
+++ b/packages/daemon/src/node/vm-list-driver.ts
@@ -1,21 +1,24 @@
-/** Follows the platform's lagging list of VMs, one sign among several of a target that leaves. */
+/**
+ * Polls the platform's list of VMs, which lags behind the actual state. The list is one of several
+ * signs that a target is leaving.
+ */
 import { type VmListPort, VmState } from '@cassiamast/ports';
 import type { Child } from '../supervisor/supervisor.js';
 import { formatAddress } from './address.js';
 import { createPeriodic } from './timers.js';
 
 const POLL_MS = 2_000;
-/** A list that could not be read for so long says nothing any more. */
-const BELIEVED_MS = 30_000;
+/** A list that was read longer ago than this is ignored. */
+const MAX_LIST_AGE_MS = 30_000;
 
-/** The list as last read. */
+/** The VM list as last read. */
 export interface VmListDriver {
   readonly child: Child;
-  /** Whether the list names this control address as leaving; null when it says nothing of it. */
+  /** Whether the list shows this member as leaving; null if it is outdated or lacks the member. */
   readonly listedLeaving: (memberId: string) => boolean | null;
 }
 
-/** Makes the driver; `onChange` is called when the list differs from before. */
+/** Creates the driver; `onChange` is called when the list has changed. */
 export function createVmListDriver(
   port: VmListPort,
   nowMs: () => number,
@@ -28,16 +31,16 @@
     const listed = await port.list();
     if (listed.isErr()) return;
     readAtMs = nowMs();
-    const next = new Map(listed.value.map((vm) => [formatAddress(vm), vm.state]));
-    const changed = [...next].some(([id, state]) => states.get(id) !== state);
-    states = next;
-    if (changed) onChange();
+    const newStates = new Map(listed.value.map((vm) => [formatAddress(vm), vm.state]));
+    const hasChanged = [...newStates].some(([id, state]) => states.get(id) !== state);
+    states = newStates;
+    if (hasChanged) onChange();
   }
 
   return {
     child: createPeriodic('vm-list', () => POLL_MS, poll),
     listedLeaving: (memberId) => {
-      if (nowMs() - readAtMs > BELIEVED_MS) return null;
+      if (nowMs() - readAtMs > MAX_LIST_AGE_MS) return null;
       const state = states.get(memberId);
       return state === undefined ? null : state === VmState.Leaving;
     },
