--- a/packages/daemon/test/node/control-server.test.ts
+++ b/packages/daemon/test/node/control-server.test.ts
@@ -1,4 +1,4 @@
-/** The control port of a member that stops, with calls of other members under way. */
+/** Checks the control port of a member: shutdown with pending calls, and handlers that throw. */
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, describe, it } from 'node:test';
 import type { Failure } from '@cassiamast/coordination';
@@ -13,7 +13,7 @@
 
 const HOST = '127.0.0.1';
 const NO_CLOCK = { now: () => '', hear: () => undefined };
-/** Longer than any of these tests. */
+/** Longer than any of these tests takes. */
 const TIMEOUT_MS = 60_000;
 
 describe('the control port of a member', () => {
@@ -55,8 +55,8 @@
     await rpc.close();
   });
 
-  // Guards against calls whose outcome another member never learns since this one stops.
-  it('answers what it has read before it closes', async () => {
+  // Otherwise a member would never learn the outcome of a call that is pending when this one stops.
+  it('answers the calls it has read before it closes', async () => {
     const called = rpc.call<string>(member, 'wait', null, { timeoutMs: TIMEOUT_MS });
     await waitFor(() => calls === 1);
     const stopped = server.stop();
@@ -66,8 +66,8 @@
     await stopped;
   });
 
-  // Guards against one member's malformed call that ends the process with all that is open in it.
-  it('answers a call that its handler can not read, and goes on', async () => {
+  // Otherwise a malformed call of one member would end this process and all its open work.
+  it('answers a call whose handler throws, and continues to serve calls', async () => {
     const failed = withResolvers<Failure>();
     rpc.stream(member, 'broken', null, {
       onNotification: () => undefined,
--- a/packages/daemon/test/node/graceful-server.test.ts
+++ b/packages/daemon/test/node/graceful-server.test.ts
@@ -1,4 +1,4 @@
-/** How an HTTP server ends: what it has read is answered, and nothing holds it for ever. */
+/** Checks that an HTTP server shuts down gracefully: it answers what it has read, and finishes. */
 import assert from 'node:assert/strict';
 import type { RequestListener, ServerResponse } from 'node:http';
 import { type AddressInfo, type Socket, connect } from 'node:net';
@@ -8,58 +8,65 @@
 import { waitFor } from '../fixtures/wait-for.js';
 
 const HOST = '127.0.0.1';
-/** Longer than any of these tests: what ends, ends by itself. */
+/** Longer than any of these tests takes, so no test passes because of a timeout. */
 const TIMEOUT_MS = 60_000;
 const REQUEST = 'GET / HTTP/1.1\r\nhost: here\r\n\r\n';
-/** More than the buffers of both ends of a connection hold. */
+/** Larger than the buffers of both ends of a connection. */
 const LARGE_ANSWER = Buffer.alloc(32 * 1024 * 1024, 'x');
 
 async function listen(serve: RequestListener): Promise<GracefulServer> {
-  const made = createGracefulServer({}, serve);
-  await new Promise<void>((resolve) => made.server.listen(0, HOST, resolve));
-  return made;
+  const gracefulServer = createGracefulServer({}, serve);
+  await new Promise<void>((resolve) => gracefulServer.server.listen(0, HOST, resolve));
+  return gracefulServer;
 }
 
-/** A caller that the server has let in, with the server's end of the connection. */
-async function call(made: GracefulServer): Promise<RawCaller & { readonly peer: Socket }> {
-  const caller = callRaw((made.server.address() as AddressInfo).port);
-  const peer = await new Promise<Socket>((resolve) => made.server.once('connection', resolve));
+/** Connects a caller; returns it with the server's end of the connection. */
+async function call(
+  gracefulServer: GracefulServer,
+): Promise<RawCaller & { readonly peer: Socket }> {
+  const caller = callRaw((gracefulServer.server.address() as AddressInfo).port);
+  const peer = await new Promise<Socket>((resolve) =>
+    gracefulServer.server.once('connection', resolve),
+  );
   return { ...caller, peer };
 }
 
-/** Keeps each answer until the test gives it. */
-function held(): { readonly serve: RequestListener; readonly waiting: ServerResponse[] } {
-  const waiting: ServerResponse[] = [];
+/** Returns a listener that leaves each response open until the test ends it. */
+function holdResponses(): {
+  readonly serve: RequestListener;
+  readonly openResponses: ServerResponse[];
+} {
+  const openResponses: ServerResponse[] = [];
   const serve: RequestListener = (request, response) => {
     request.resume();
-    waiting.push(response);
+    openResponses.push(response);
   };
-  return { serve, waiting };
+  return { serve, openResponses };
 }
 
 describe('a server that closes', () => {
-  it('answers a request that is under way, and asks its caller to connect anew', async () => {
-    const { serve, waiting } = held();
-    const made = await listen(serve);
-    const caller = await call(made);
+  it('answers a pending request, and asks its caller to open a new connection', async () => {
+    const { serve, openResponses } = holdResponses();
+    const gracefulServer = await listen(serve);
+    const caller = await call(gracefulServer);
     caller.socket.write(REQUEST);
-    await waitFor(() => waiting.length === 1);
-    const closed = made.close({ idleMs: 0, timeoutMs: TIMEOUT_MS });
-    waiting[0]?.end('done');
+    await waitFor(() => openResponses.length === 1);
+    const closed = gracefulServer.close({ idleMs: 0, timeoutMs: TIMEOUT_MS });
+    openResponses[0]?.end('done');
     assert.equal(await closed, 0);
     await waitFor(caller.isClosed);
     assert.match(caller.text(), /connection: close/i);
     assert.match(caller.text(), /done$/);
   });
 
-  it('answers a request that it has read in part', async () => {
-    const made = await listen((request, response) => {
+  it('answers a request that it has read partially', async () => {
+    const gracefulServer = await listen((request, response) => {
       request.resume().on('end', () => response.end('done'));
     });
-    const caller = await call(made);
+    const caller = await call(gracefulServer);
     caller.socket.write('POST / HTTP/1.1\r\nhost: here\r\ncontent-');
     await waitFor(() => caller.peer.bytesRead > 0);
-    const closed = made.close({ idleMs: 0, timeoutMs: TIMEOUT_MS });
+    const closed = gracefulServer.close({ idleMs: 0, timeoutMs: TIMEOUT_MS });
     caller.socket.write('length: 4\r\n\r\n');
     caller.socket.write('body');
     assert.equal(await closed, 0);
@@ -67,13 +74,13 @@
     assert.equal(caller.answers(), 1);
   });
 
-  // Guards against a kept connection that is closed while the next request is on its way to it.
-  it('answers a request that comes on a kept connection before that is idle', async () => {
-    const made = await listen((_request, response) => response.end('done'));
-    const caller = await call(made);
+  // Otherwise a keep-alive connection could be closed while the next request is in transit.
+  it('answers a request that arrives on a keep-alive connection within the idle time', async () => {
+    const gracefulServer = await listen((_request, response) => response.end('done'));
+    const caller = await call(gracefulServer);
     caller.socket.write(REQUEST);
     await waitFor(() => caller.answers() === 1);
-    const closed = made.close({ idleMs: TIMEOUT_MS / 2, timeoutMs: TIMEOUT_MS });
+    const closed = gracefulServer.close({ idleMs: TIMEOUT_MS / 2, timeoutMs: TIMEOUT_MS });
     caller.socket.write(REQUEST);
     assert.equal(await closed, 0);
     await waitFor(caller.isClosed);
@@ -81,30 +88,30 @@
     assert.match(caller.text(), /connection: close/i);
   });
 
-  // Guards against a kept connection that goes on being served by a server that has closed.
-  it('ends a connection whose caller was told that it would be kept', async () => {
-    const { serve, waiting } = held();
-    const made = await listen(serve);
-    const caller = await call(made);
+  // Otherwise a closed server would continue to serve a keep-alive connection.
+  it('closes a connection whose response has already announced keep-alive', async () => {
+    const { serve, openResponses } = holdResponses();
+    const gracefulServer = await listen(serve);
+    const caller = await call(gracefulServer);
     caller.socket.write(REQUEST);
-    await waitFor(() => waiting.length === 1);
-    waiting[0]?.write('begun');
+    await waitFor(() => openResponses.length === 1);
+    openResponses[0]?.write('begun');
     await waitFor(() => caller.text().includes('begun'));
-    const closed = made.close({ idleMs: 0, timeoutMs: TIMEOUT_MS });
-    waiting[0]?.end('done');
+    const closed = gracefulServer.close({ idleMs: 0, timeoutMs: TIMEOUT_MS });
+    openResponses[0]?.end('done');
     assert.equal(await closed, 0);
     await waitFor(caller.isClosed);
     assert.match(caller.text(), /keep-alive[^]*begun[^]*done/);
   });
 
-  // Guards against an answer that is cut since its caller reads it slowly.
-  it('sends all of an answer that was ended before', async () => {
-    const made = await listen((_request, response) => response.end(LARGE_ANSWER));
-    const caller = await call(made);
+  // Otherwise a response would be cut off when its caller reads slowly.
+  it('sends the whole response that was ended before the shutdown', async () => {
+    const gracefulServer = await listen((_request, response) => response.end(LARGE_ANSWER));
+    const caller = await call(gracefulServer);
     caller.socket.pause();
     caller.socket.write(REQUEST);
-    await waitFor(() => made.open() === 1);
-    const closed = made.close({ idleMs: 0, timeoutMs: TIMEOUT_MS });
+    await waitFor(() => gracefulServer.open() === 1);
+    const closed = gracefulServer.close({ idleMs: 0, timeoutMs: TIMEOUT_MS });
     caller.socket.resume();
     assert.equal(await closed, 0);
     await waitFor(caller.isClosed);
@@ -112,89 +119,89 @@
     assert.equal(body.length, LARGE_ANSWER.length);
   });
 
-  // Guards against a stop that waits for ever for a peer that connects and says nothing.
-  it('does not wait for a connection that never asked anything', async () => {
-    const made = await listen((_request, response) => response.end('done'));
-    const caller = await call(made);
-    assert.equal(await made.close({ idleMs: 0, timeoutMs: TIMEOUT_MS }), 0);
+  // Otherwise a stop would wait forever for a peer that connects and sends nothing.
+  it('does not wait for a connection without requests', async () => {
+    const gracefulServer = await listen((_request, response) => response.end('done'));
+    const caller = await call(gracefulServer);
+    assert.equal(await gracefulServer.close({ idleMs: 0, timeoutMs: TIMEOUT_MS }), 0);
     await waitFor(caller.isClosed);
   });
 
-  describe('with requests that are sent without waiting for answers', () => {
-    // Guards against a request that is read behind one that was to end the connection, and is cut.
-    it('answers one that comes after the other callers were told', async () => {
-      const { serve, waiting } = held();
-      const made = await listen(serve);
-      const caller = await call(made);
+  describe('with pipelined requests', () => {
+    // Otherwise a request would be lost if it is read after one whose response ends the connection.
+    it('answers a request that arrives after keep-alive was disabled', async () => {
+      const { serve, openResponses } = holdResponses();
+      const gracefulServer = await listen(serve);
+      const caller = await call(gracefulServer);
       caller.socket.write(REQUEST);
-      await waitFor(() => waiting.length === 1);
-      made.disableKeepAlive();
+      await waitFor(() => openResponses.length === 1);
+      gracefulServer.disableKeepAlive();
       caller.socket.write(REQUEST);
-      await waitFor(() => waiting.length === 2);
-      for (const response of waiting) response.end('done');
+      await waitFor(() => openResponses.length === 2);
+      for (const response of openResponses) response.end('done');
       await waitFor(caller.isClosed);
       assert.equal(caller.answers(), 2);
       assert.match(caller.text(), /keep-alive[^]*done[^]*connection: close[^]*done$/i);
-      assert.equal(await made.close({ idleMs: 0, timeoutMs: TIMEOUT_MS }), 0);
+      assert.equal(await gracefulServer.close({ idleMs: 0, timeoutMs: TIMEOUT_MS }), 0);
     });
 
-    // Guards against a request that runs though nobody will hear of it.
-    it('does not serve one behind an answer that ends the connection', async () => {
-      const { serve, waiting } = held();
-      const made = await listen(serve);
-      const caller = await call(made);
-      made.disableKeepAlive();
+    // Otherwise a request would run although its response can't be delivered.
+    it('does not serve a request after a response that ends the connection', async () => {
+      const { serve, openResponses } = holdResponses();
+      const gracefulServer = await listen(serve);
+      const caller = await call(gracefulServer);
+      gracefulServer.disableKeepAlive();
       caller.socket.write(REQUEST);
-      await waitFor(() => waiting.length === 1);
-      waiting[0]?.write('begun');
+      await waitFor(() => openResponses.length === 1);
+      openResponses[0]?.write('begun');
       await waitFor(() => caller.text().includes('begun'));
       const readBytes = caller.peer.bytesRead;
       caller.socket.write(REQUEST);
       await waitFor(() => caller.peer.bytesRead > readBytes);
-      waiting[0]?.end('done');
+      openResponses[0]?.end('done');
       await waitFor(caller.isClosed);
-      assert.equal(waiting.length, 1);
-      assert.equal(await made.close({ idleMs: 0, timeoutMs: TIMEOUT_MS }), 0);
+      assert.equal(openResponses.length, 1);
+      assert.equal(await gracefulServer.close({ idleMs: 0, timeoutMs: TIMEOUT_MS }), 0);
     });
   });
 
-  // Guards against a request that is cut since it comes slowly.
-  it('waits for the rest of a request after its other connections are closed', async () => {
-    const made = await listen((request, response) => {
+  // Otherwise a request that arrives slowly would be cut off.
+  it('waits for the rest of a request after closing idle connections', async () => {
+    const gracefulServer = await listen((request, response) => {
       request.resume().on('end', () => response.end('done'));
     });
-    const caller = await call(made);
-    const silent = await call(made);
+    const caller = await call(gracefulServer);
+    const idleCaller = await call(gracefulServer);
     caller.socket.write('GET / HTTP/1.1\r\nhost');
     await waitFor(() => caller.peer.bytesRead > 0);
-    const closed = made.close({ idleMs: 0, timeoutMs: TIMEOUT_MS });
-    await waitFor(silent.isClosed);
+    const closed = gracefulServer.close({ idleMs: 0, timeoutMs: TIMEOUT_MS });
+    await waitFor(idleCaller.isClosed);
     caller.socket.write(': here\r\n\r\n');
     assert.equal(await closed, 0);
     await waitFor(caller.isClosed);
     assert.equal(caller.answers(), 1);
   });
 
-  it('cuts what is open when its time is over, and counts it', async () => {
-    const { serve, waiting } = held();
-    const made = await listen(serve);
-    const caller = await call(made);
+  it('cuts off and counts the requests that are open at the timeout', async () => {
+    const { serve, openResponses } = holdResponses();
+    const gracefulServer = await listen(serve);
+    const caller = await call(gracefulServer);
     caller.socket.write(REQUEST);
-    await waitFor(() => waiting.length === 1);
-    assert.equal(await made.close({ idleMs: 0, timeoutMs: 0 }), 1);
+    await waitFor(() => openResponses.length === 1);
+    assert.equal(await gracefulServer.close({ idleMs: 0, timeoutMs: 0 }), 1);
     await waitFor(caller.isClosed);
     assert.equal(caller.text(), '');
   });
 
-  it('ends where it has never listened', async () => {
-    const made = createGracefulServer({}, () => undefined);
-    assert.equal(await made.close({ idleMs: 0, timeoutMs: TIMEOUT_MS }), 0);
+  it('closes a server that has never listened', async () => {
+    const gracefulServer = createGracefulServer({}, () => undefined);
+    assert.equal(await gracefulServer.close({ idleMs: 0, timeoutMs: TIMEOUT_MS }), 0);
   });
 
-  it('listens no more', async () => {
-    const made = await listen((_request, response) => response.end('done'));
-    const { port } = made.server.address() as AddressInfo;
-    const closed = made.close({ idleMs: 0, timeoutMs: TIMEOUT_MS });
+  it('stops listening', async () => {
+    const gracefulServer = await listen((_request, response) => response.end('done'));
+    const { port } = gracefulServer.server.address() as AddressInfo;
+    const closed = gracefulServer.close({ idleMs: 0, timeoutMs: TIMEOUT_MS });
     const refused = await new Promise((resolve) => {
       connect(port, HOST).on('error', resolve);
     });
--- a/packages/daemon/test/node/reachable.test.ts
+++ b/packages/daemon/test/node/reachable.test.ts
@@ -1,4 +1,4 @@
-/** Whether a VM lets a connection in, whatever its process does. */
+/** Checks that reachability depends on accepted connections, not on what the process answers. */
 import assert from 'node:assert/strict';
 import { type AddressInfo, createServer } from 'node:net';
 import { describe, it } from 'node:test';
@@ -7,7 +7,7 @@
 const WITHIN_MS = 2000;
 
 describe('a VM', () => {
-  it('is reached while a process listens, though it says nothing', async () => {
+  it('is reachable while a process listens, even if it sends nothing', async () => {
     const server = createServer(() => undefined);
     await new Promise<void>((resolve) => {
       server.listen(0, '127.0.0.1', resolve);
@@ -17,7 +17,7 @@
     server.close();
   });
 
-  it('is not reached where nothing listens any more', async () => {
+  it('is not reachable once no process listens', async () => {
     const server = createServer();
     await new Promise<void>((resolve) => {
       server.listen(0, '127.0.0.1', resolve);
--- a/packages/daemon/test/node/record-repair.test.ts
+++ b/packages/daemon/test/node/record-repair.test.ts
@@ -1,11 +1,11 @@
 /**
- * Story: the processes of a fleet get little processor time, so members suspect each other and take
- * it back, some hundred times a minute. Users' requests are not recorded in time and nobody is
- * answered, though the load is small.
+ * Prevents the repair of record copies from overloading a fleet with little CPU time. Members then
+ * suspect each other and revert it about a hundred times a minute. Every change of any member made
+ * all members send all their records again, and again after one second without an answer. Requests
+ * were not recorded in time and none was answered, although the load was small.
  *
- * What a run of `demo --faults` showed with every daemon stopped for nine tenths of the time: 44,949
- * copies of 140 records were sent (`records_repaired_total`). Each news of any member made every
- * member send all its records again, and again after a second where no answer had come.
+ * In a run of `demo --faults` with every daemon stopped for nine tenths of the time, 44,949 copies
+ * of 140 records were sent (`records_repaired_total`).
  */
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, describe, it, mock } from 'node:test';
@@ -73,7 +73,7 @@
     }
   }
 
-  /** News of a member: it was suspected and contradicts, or is back without its memory. */
+  /** Gives a member a new incarnation: it refuted a suspicion, or restarted without its memory. */
   renew(id: string): void {
     this.incarnations.set(id, (this.incarnations.get(id) ?? 0) + 1);
     this.driver.placementChanged();
@@ -112,7 +112,7 @@
       return okAsync(reply as Answer);
     };
     const stream = (): never => {
-      throw new RangeError('copies are no streams');
+      throw new RangeError('record copies are not sent as streams');
     };
     return { call, stream, close: () => Promise.resolve() };
   }
@@ -139,10 +139,10 @@
     assert.equal(member.calls, RECORDS);
   });
 
-  describe('news of members that hold none of the records', () => {
+  describe('updates of members that hold none of the records', () => {
     it('sends nothing', async () => {
       const before = member.calls;
-      for (let news = 0; news < 50; news += 1) {
+      for (let update = 0; update < 50; update += 1) {
         member.renew('c');
         await member.run(MS_PER_S);
       }
@@ -150,10 +150,10 @@
     });
   });
 
-  describe('a change that leaves every member as it was', () => {
+  describe('a placement change with unchanged members', () => {
     it('sends nothing', async () => {
       const before = member.calls;
-      for (let news = 0; news < 50; news += 1) {
+      for (let update = 0; update < 50; update += 1) {
         member.driver.placementChanged();
         await member.run(MS_PER_S);
       }
@@ -161,9 +161,9 @@
     });
   });
 
-  describe('the other holder comes back without its memory', () => {
-    it('gets every record again, each time', async () => {
-      for (let times = 0; times < 3; times += 1) {
+  describe('a restart of the other holder without its memory', () => {
+    it('restores every record after each restart', async () => {
+      for (let restart = 0; restart < 3; restart += 1) {
         member.peerLosesMemory();
         await member.run(2 * MS_PER_S);
         assert.equal(member.peerRecords(), RECORDS);
@@ -171,12 +171,12 @@
     });
   });
 
-  describe('a holder that takes copies and answers none of them', () => {
-    it('has a bounded number of them under way', async () => {
+  describe('a holder that receives copies but does not answer', () => {
+    it('receives a bounded number of copies', async () => {
       member.peerIsSilent = true;
       member.peerLosesMemory();
       await member.run(30 * MS_PER_S);
-      // 64 at a time, each put again after 1, 2, 4, 8 and 16 s of silence.
+      // At most 64 at a time, each retried after 1, 2, 4, 8 and 16 s without an answer.
       assert.ok(member.calls - RECORDS <= 64 * 5, `${String(member.calls - RECORDS)} copies`);
     });
   });
--- a/packages/daemon/test/node/slow-holders.test.ts
+++ b/packages/daemon/test/node/slow-holders.test.ts
@@ -1,13 +1,13 @@
 /**
- * Story: the processes of a fleet get a tenth of a core each for a minute. A user's request waits for
- * "the members that record this request", is refused as unknown after 6 s, comes back, and is refused
- * again, for as long as the processes are slow and for long after; nobody is answered.
+ * Prevents retries from overloading slow record holders. While each process of a fleet had a tenth
+ * of a core for a minute, requests waited for "the members that record this request", were rejected as
+ * unknown after 6 s, retried and rejected again, even long after the processes had recovered. Each
+ * call was repeated every 500 ms while the first one was still in the holder's queue, and answers
+ * that took over 2 s were discarded, so the repeated calls were the load.
  *
- * What a run of `demo --faults` showed with every daemon stopped for nine tenths of the time: of
- * 57,770 calls to holders 37,149 failed, for 140 requests; each refusal named a holder that lived
- * (`phase=creating roundsAsked=12 missing=... missingDead=0`). The question was put again every 500 ms
- * while its first copy waited in the holder's line, and an answer that took over 2 s was thrown away:
- * the repeats were the load.
+ * In a run of `demo --faults` with every daemon stopped for nine tenths of the time, 37,149 of
+ * 57,770 calls to holders failed, for 140 requests. Each rejection named a live holder
+ * (`phase=creating roundsAsked=12 missing=... missingDead=0`).
  */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
@@ -35,25 +35,25 @@
 import { createTelemetry } from '../../src/node/telemetry.js';
 
 const HOLDERS = ['holder-1', 'holder-2'];
-/** What a holder spends on a call: 25 calls a second, of which the load below needs 10. */
+/** Time that a holder spends on a call. It can serve 25 calls a second; the load below needs 10. */
 const CALL_COST_MS = 40;
 const REQUESTS_PER_S = 10;
 const LOAD_MS = 20_000;
 const PAUSE_AT_MS = 5_000;
-/** Shorter than an entry's patience of 6 s: nobody who waits through it needs to be sent away. */
+/** Shorter than the 6 s that an entry waits, so no request has to be rejected during the pause. */
 const PAUSE_MS = 4_000;
 const MS_PER_S = 1_000;
-/** Callers give up a minute after the last of them came. */
+/** Callers give up one minute after the last of them has arrived. */
 const END_MS = LOAD_MS + 60_000;
 
-/** Virtual time: what is due runs in order, and promises settle in between. */
+/** Virtual time: callbacks run in the order of their due times, and promises settle in between. */
 class Clock {
   nowMs = 0;
   private readonly due: { readonly atMs: number; readonly run: () => void }[] = [];
 
   at(atMs: number, run: () => void): void {
-    const place = this.due.findIndex((other) => other.atMs > atMs);
-    this.due.splice(place === -1 ? this.due.length : place, 0, { atMs, run });
+    const insertIndex = this.due.findIndex((other) => other.atMs > atMs);
+    this.due.splice(insertIndex === -1 ? this.due.length : insertIndex, 0, { atMs, run });
   }
 
   async runUntil(endMs: number): Promise<void> {
@@ -68,7 +68,7 @@
   }
 }
 
-/** A member that answers one call after the other and stands still for a while. */
+/** A member that answers calls one after the other and is paused for a while. */
 class SlowHolder {
   readonly state = createHolder(0);
   calls = 0;
@@ -76,7 +76,10 @@
 
   constructor(private readonly clock: Clock) {}
 
-  ask(call: HolderCall, answer: (reply: ReturnType<typeof handleHolderCall>) => void): void {
+  receiveCall(
+    call: HolderCall,
+    answer: (reply: ReturnType<typeof handleHolderCall>) => void,
+  ): void {
     this.calls += 1;
     const { nowMs } = this.clock;
     const startMs = this.afterPause(Math.max(nowMs, this.freeAtMs));
@@ -92,13 +95,13 @@
   }
 }
 
-/** An entry before slow holders, with the real request machine and the real calls to holders. */
+/** An entry that calls slow holders, with the real request state machine and holder driver. */
 class Entry {
   readonly clock = new Clock();
   readonly holders = new Map(HOLDERS.map((id) => [id, new SlowHolder(this.clock)]));
   readonly accepted = new Map<string, number>();
-  refusals = 0;
-  private lastDrive = 0;
+  rejections = 0;
+  private lastRequest = 0;
   private readonly random = seededRandom(4);
   private readonly budget = createRetryBudget(DEFAULT_DRIVE_OPTIONS.retry);
   private readonly driver = createHolderDriver(this.driverOptions());
@@ -106,7 +109,7 @@
   constructor(private readonly hash32: (text: string) => number) {}
 
   arrive(key: string): void {
-    this.lastDrive += 1;
+    this.lastRequest += 1;
     const request = {
       keyText: key,
       workspace: 'workspace',
@@ -117,11 +120,11 @@
       deadlineMs: 60_000,
       resume: null,
     };
-    const drive = createDrive(`entry#${String(this.lastDrive)}`, request, this.clock.nowMs);
+    const machine = createDrive(`entry#${String(this.lastRequest)}`, request, this.clock.nowMs);
     const feed = (event: DriveEvent): void => {
-      // Nothing is run here: what is accepted needs no more.
+      // Requests are not run here, so an accepted request needs no more events.
       if (this.accepted.has(key)) return;
-      for (const effect of handleDriveEvent(drive, event, this.context())) {
+      for (const effect of handleDriveEvent(machine, event, this.context())) {
         if (effect.kind === DriveEffectKind.CallHolder) {
           const { to, roundId, call } = effect;
           void this.driver.callHolder(to, call).map((reply) => {
@@ -135,8 +138,8 @@
         } else if (effect.kind === DriveEffectKind.AskAdmission) {
           this.accepted.set(key, this.clock.nowMs);
         } else if (effect.kind === DriveEffectKind.TellRefusal) {
-          this.refusals += 1;
-          // The caller comes back with its key when it was told to.
+          this.rejections += 1;
+          // The caller retries with its key after the time given in the rejection.
           this.clock.at(this.clock.nowMs + (effect.retryAfterMs ?? 0), () => {
             this.arrive(key);
           });
@@ -181,7 +184,7 @@
       { timeoutMs }: { readonly timeoutMs: number },
     ) => {
       const answered = new Promise<Answer>((resolve, reject) => {
-        this.holders.get(member)?.ask(params as HolderCall, (reply) => {
+        this.holders.get(member)?.receiveCall(params as HolderCall, (reply) => {
           resolve(reply as Answer);
         });
         this.clock.at(this.clock.nowMs + timeoutMs, () => {
@@ -193,13 +196,13 @@
       );
     };
     const stream = (): never => {
-      throw new RangeError('no stream is opened before acceptance');
+      throw new RangeError('streams are not opened before a request is accepted');
     };
     return { call, stream, close: () => Promise.resolve() };
   }
 }
 
-async function play(): Promise<Entry> {
+async function runScenario(): Promise<Entry> {
   const { hash32 } = await createHashing();
   const entry = new Entry(hash32);
   const requests = (LOAD_MS / MS_PER_S) * REQUESTS_PER_S;
@@ -212,18 +215,18 @@
   return entry;
 }
 
-describe('holders that are slow', () => {
-  describe('holders that stand still for 4 s under a load of two fifths of what they bear', () => {
-    it('make nobody come back: whoever waits is recorded once they go on', async () => {
-      const entry = await play();
+describe('slow holders', () => {
+  describe('holders that are paused for 4 s under a load of two fifths of their capacity', () => {
+    it('cause no rejection: waiting requests are recorded once the holders resume', async () => {
+      const entry = await runScenario();
       assert.equal(entry.accepted.size, 200);
-      assert.equal(entry.refusals, 0);
+      assert.equal(entry.rejections, 0);
     });
 
-    it('are asked at most three times for one request', async () => {
-      const entry = await play();
+    it('are called at most three times for one request', async () => {
+      const entry = await runScenario();
       for (const [id, holder] of entry.holders) {
-        assert.ok(holder.calls <= 3 * 200, `${id} was asked ${String(holder.calls)} times`);
+        assert.ok(holder.calls <= 3 * 200, `${id} was called ${String(holder.calls)} times`);
         assert.equal(holder.state.records.size, 200);
       }
     });
