--- a/packages/daemon/test/node/slow-holders.test.ts
+++ b/packages/daemon/test/node/slow-holders.test.ts
@@ -1,7 +1,7 @@
 /**
  * Prevents retries from overloading slow record holders. While each process of a fleet had a tenth
- * of a core for a minute, requests waited for "the members that record this request", were rejected as
- * unknown after 6 s, retried and rejected again, even long after the processes had recovered. Each
+ * of a core for a minute, requests waited for "the members that record this request", were rejected
+ * as unknown after 6 s, retried and rejected again, even long after the processes had recovered. Each
  * call was repeated every 500 ms while the first one was still in the holder's queue, and answers
  * that took over 2 s were discarded, so the repeated calls were the load.
  *
