--- a/packages/cli/src/core/configuration/apply.ts
+++ b/packages/cli/src/core/configuration/apply.ts
@@ -1,6 +1,7 @@
 /**
- * Applies an edit: performs what the library's editor decides, on the key-value service, until the
- * outcome is known or can not be told.
+ * Applies an edit of the configuration: performs the reads and transactions that the library's
+ * editor requests on the key-value service, until the editor reports an outcome. The outcome may be
+ * that the result of the write is unknown.
  */
 import { createHash } from 'node:crypto';
 import {
@@ -21,27 +22,27 @@
 import type { KeyValuePort } from '@cassiamast/ports';
 import type { Result } from 'neverthrow';
 
-/** What applying needs from its surroundings. */
+/** Dependencies of {@link applyEdit}. */
 export interface ApplyContext {
   readonly port: Pick<KeyValuePort, 'get' | 'transact'>;
   readonly random: Random;
   readonly sleep: (delayMs: number) => Promise<unknown>;
-  /** Told before each call to the service. */
+  /** Called with a description of the step before each call to the service. */
   readonly onStep: (step: string) => void;
 }
 
 const EDIT_ID_CHARACTERS = 32;
 
 /**
- * An id that is the same whenever the same text is applied to the same version, so that a command
- * which is simply run again after a lost answer recognises its own edit.
+ * Returns an edit id derived from the text and its base version. Because it is deterministic, a
+ * command that is run again after a lost response recognizes its own edit.
  */
 export function editIdOf(baseVersion: number, text: string): string {
-  const content = JSON.stringify([baseVersion, text]);
-  return createHash('sha256').update(content).digest('hex').slice(0, EDIT_ID_CHARACTERS);
+  const hashInput = JSON.stringify([baseVersion, text]);
+  return createHash('sha256').update(hashInput).digest('hex').slice(0, EDIT_ID_CHARACTERS);
 }
 
-/** Carries the edit through. Gives the accepted version, or the editor's failure. */
+/** Runs the edit to its outcome. Returns the accepted version, or the editor's failure. */
 export async function applyEdit(
   edit: ConfigurationEdit,
   context: ApplyContext,
@@ -52,7 +53,7 @@
     if (effect.kind === EditEffectKind.Done) return effect.outcome;
     [effect] = await perform(state, effect, context);
   }
-  // The editor's every step answers with an effect; one that does not is a defect of the library.
+  // Every step of the editor returns an effect; a step without one is a defect of the library.
   throw new TypeError('the editor stopped without an outcome');
 }
 
--- a/packages/cli/src/core/configuration/compile-file.ts
+++ b/packages/cli/src/core/configuration/compile-file.ts
@@ -1,12 +1,12 @@
 /**
- * Compiles a file's text, with its faults under the file's name.
+ * Compiles the text of a configuration file and reports its faults together with the file name.
  */
 import type { Configuration, Failure } from '@cassiamast/coordination';
 import { compileText } from '@cassiamast/config-text';
 import type { Result } from 'neverthrow';
 import { TEXT_FAULTY } from '../process/failures.js';
 
-/** Compiles the text of a file. Errors: `text-faulty` with every fault. */
+/** Compiles the text of a file. Errors: `text-faulty`, with all faults found. */
 export function compileFile(file: string, text: string): Result<Configuration, Failure> {
   return compileText(text).mapErr((faults) => TEXT_FAULTY.of({ file, faults }));
 }
--- a/packages/cli/src/core/configuration/conflict.ts
+++ b/packages/cli/src/core/configuration/conflict.ts
@@ -1,18 +1,18 @@
 /**
- * What an operator needs to know when another edit came first: what the others changed since, and
- * what the own text would change on top of theirs.
+ * Explains an edit conflict to the operator: what other edits have changed since the base version,
+ * and what the rejected text would change relative to the current version.
  */
 import type { Configuration, ConfigurationDocument } from '@cassiamast/coordination';
 import { diffConfigurations, differenceText, type Difference } from '@cassiamast/config-text';
 
-/** The two differences of a conflict. */
+/** The two lists of differences that explain a conflict. */
 export interface ConflictDifferences {
-  /** Null when the version that was edited has left the history. */
+  /** Null when the base version is no longer in the history. */
   readonly othersChanged: readonly Difference[] | null;
   readonly yoursWouldChange: readonly Difference[];
 }
 
-/** Works out both differences. */
+/** Computes both lists of differences. */
 export function conflictDifferences(
   base: ConfigurationDocument | null,
   current: ConfigurationDocument,
@@ -24,15 +24,15 @@
   };
 }
 
-/** The differences as lines. */
+/** Formats the differences as lines for the terminal. */
 export function conflictLines(differences: ConflictDifferences): string[] {
   const { othersChanged, yoursWouldChange } = differences;
-  const others =
+  const othersLines =
     othersChanged === null
       ? ['What the others changed is no longer in the history.']
       : ['The others changed:', ...indented(othersChanged)];
   return [
-    ...others,
+    ...othersLines,
     'Against the version in force your text would change:',
     ...indented(yoursWouldChange),
   ];
--- a/packages/cli/src/core/configuration/read.ts
+++ b/packages/cli/src/core/configuration/read.ts
@@ -1,5 +1,5 @@
 /**
- * Reading the configuration and its history from the key-value service.
+ * Reads the configuration and its history from the key-value service.
  */
 import {
   CONFIGURATION_CURRENT_KEY,
@@ -13,7 +13,7 @@
 import { err, ok, okAsync, ResultAsync, type Result } from 'neverthrow';
 import { NO_SUCH_VERSION, SERVICE_FAILED } from '../process/failures.js';
 
-/** One version as `history` lists it. */
+/** One version in the output of `history`. */
 export interface HistoryItem {
   readonly version: number;
   readonly editId: string;
@@ -21,7 +21,7 @@
   readonly editedBy: string;
 }
 
-/** The key-value calls that reading needs. */
+/** The key-value operations used to read the configuration. */
 export type ReadPort = Pick<KeyValuePort, 'get'>;
 
 function serviceFailure(failure: Failure): Failure {
@@ -35,12 +35,15 @@
     .map((entry) => (entry === null ? null : parseDocument(entry.value)));
 }
 
-/** The document in force; null before the first. */
+/** Returns the active document, or null when no configuration has been applied yet. */
 export function readCurrent(port: ReadPort): ResultAsync<ConfigurationDocument | null, Failure> {
   return readKey(port, CONFIGURATION_CURRENT_KEY);
 }
 
-/** A version: the current one where none is named. Errors: `no-such-version`, `key-value-failed`. */
+/**
+ * Returns the document of a version; null selects the current version. Errors: `no-such-version`,
+ * `key-value-failed`.
+ */
 export function readVersion(
   port: ReadPort,
   version: number | null,
@@ -52,10 +55,10 @@
 }
 
 /**
- * The latest versions, newest first. They are read one by one: a document may take half a megabyte,
- * and all of them in one answer more than the client accepts.
+ * Returns the latest versions, newest first. Versions are read one at a time: a document can be half
+ * a megabyte, so that all of them in one response would exceed the size that the client accepts.
  *
- * @param onProgress called after each version with the number read.
+ * @param onProgress called with the number of versions read, after each version.
  */
 export async function readHistory(
   port: ReadPort,
@@ -66,8 +69,8 @@
   if (current.isErr()) return err(current.error);
   if (current.value === null) return ok([]);
   const items = [itemOf(current.value)];
-  const wanted = Math.min(limit, MAX_HISTORY_VERSIONS, current.value.version);
-  while (items.length < wanted) {
+  const itemLimit = Math.min(limit, MAX_HISTORY_VERSIONS, current.value.version);
+  while (items.length < itemLimit) {
     const document = await readKey(port, historyKey(current.value.version - items.length));
     if (document.isErr()) return err(document.error);
     if (document.value === null) break;
@@ -81,7 +84,7 @@
   return { version, editId, editedAtMs, editedBy };
 }
 
-/** A version that may no longer be there: null instead of `no-such-version`. */
+/** Like {@link readVersion}, but returns null for a version that is not in the history. */
 export function readVersionIfKept(
   port: ReadPort,
   version: number,
--- a/packages/cli/src/core/connection/connection.ts
+++ b/packages/cli/src/core/connection/connection.ts
@@ -1,7 +1,7 @@
 /**
- * Where the key-value service and an entry are, and the members' secret: from flags, else from the
- * environment, else from a file. The secret itself comes only from a file or the environment, so
- * that it stands in no process list and no shell history.
+ * Resolves the addresses of the key-value service and the entries, and the members' secret. Flags
+ * take precedence over environment variables, and these over the connection file. The secret is
+ * read only from a file or the environment, which keeps it out of process lists and shell history.
  */
 import { readFile } from 'node:fs/promises';
 import { type Failure } from '@cassiamast/coordination';
@@ -9,7 +9,7 @@
 import { parse } from 'yaml';
 import { FILE_UNREADABLE, NO_CONNECTION } from '../process/failures.js';
 
-/** What flags may say. */
+/** Connection flags of a command. */
 export interface ConnectionFlags {
   readonly connection?: string | undefined;
   readonly keyValue?: readonly string[] | undefined;
@@ -20,10 +20,10 @@
 /** Environment variables, by name. */
 export type Environment = Readonly<Record<string, string | undefined>>;
 
-/** Everything known about the connection; empty where nothing was said. */
+/** The resolved connection settings; a setting that is not given is empty. */
 export interface Connection {
   readonly keyValueEndpoints: readonly string[];
-  /** Entries to ask for the members; the next one where one does not answer. */
+  /** Entries to ask for the member list, tried in order until one responds. */
   readonly entries: readonly string[];
   readonly secret: string;
 }
@@ -47,7 +47,7 @@
 
 const NO_FILE_SETTINGS: FileSettings = { keyValue: [], entry: [], secretFile: '' };
 
-/** Puts the connection together. Errors: `file-unreadable`, `no-connection`. */
+/** Resolves the connection from all sources. Errors: `file-unreadable`, `no-connection`. */
 export async function resolveConnection(
   flags: ConnectionFlags,
   environment: Environment,
@@ -120,7 +120,7 @@
   return (await readText(file.secretFile)).map((text) => text.trim());
 }
 
-/** The key-value endpoints, or what is missing. */
+/** Returns the key-value endpoints. Errors: `no-connection` when there are none or one is malformed. */
 export function requireKeyValue(connection: Connection): Result<readonly string[], Failure> {
   const endpoints = connection.keyValueEndpoints;
   if (endpoints.length === 0) {
@@ -132,7 +132,7 @@
   return err(NO_CONNECTION.of({ fault: `"${wrong}" is not a URL such as http://10.0.0.5:2379.` }));
 }
 
-/** The entries' addresses, or what is missing. */
+/** Returns the entries' addresses. Errors: `no-connection` when there are none or one is malformed. */
 export function requireEntries(
   connection: Connection,
 ): Result<readonly [string, ...string[]], Failure> {
