--- a/packages/cli/src/commands/apply.ts
+++ b/packages/cli/src/commands/apply.ts
@@ -1,4 +1,4 @@
-/** `cassiamast apply FILE`: puts a text in force, from the version that it was edited from. */
+/** `cassiamast apply FILE`: applies a text, based on the version it was edited from. */
 import { userInfo } from 'node:os';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { Args, Flags, ux } from '@oclif/core';
@@ -15,8 +15,13 @@
 import { conflictDifferences, conflictLines } from '../core/configuration/conflict.js';
 import { readCurrent, readVersionIfKept } from '../core/configuration/read.js';
 import { readVersionLine } from '../core/configuration/version-line.js';
-import { waitForSpread } from '../core/fleet/spread.js';
-import { ENTRY_FLAGS, KEY_VALUE_FLAGS, must, OperatorCommand } from '../core/process/command.js';
+import { waitForPropagation } from '../core/fleet/spread.js';
+import {
+  ENTRY_FLAGS,
+  KEY_VALUE_FLAGS,
+  unwrapOrThrow,
+  OperatorCommand,
+} from '../core/process/command.js';
 import { BASE_VERSION_MISSING } from '../core/process/failures.js';
 
 const MS_PER_S = 1_000;
@@ -41,11 +46,11 @@
 
   async run(): Promise<object> {
     const { args, flags } = await this.parse(Apply);
-    const { text, baseVersion: written } = readVersionLine(await this.readText(args.file));
-    const baseVersion = flags['from-version'] ?? written;
+    const { text, baseVersion: versionInText } = readVersionLine(await this.readText(args.file));
+    const baseVersion = flags['from-version'] ?? versionInText;
     if (baseVersion === null) throw new FailureError(BASE_VERSION_MISSING.of({ file: args.file }));
-    // The file is compiled as it stands, so that faults have the lines that the operator sees.
-    const compiled = must(compileFile(args.file, await this.readText(args.file)));
+    // The file is compiled with its version line, so that faults have the line numbers of the file.
+    const compiled = unwrapOrThrow(compileFile(args.file, await this.readText(args.file)));
     const edit: ConfigurationEdit = {
       baseVersion,
       editId: flags['edit-id'] ?? editIdOf(baseVersion, text),
@@ -58,7 +63,8 @@
     const version = await this.#apply(port, edit);
     this.log(`Version ${String(version)} is accepted.`);
     const waitS = flags['wait-s'];
-    const processes = waitS === undefined ? null : await this.#wait(flags, version, waitS);
+    const processes =
+      waitS === undefined ? null : await this.#waitForPropagation(flags, version, waitS);
     return { version, editId: edit.editId, inForceAt: processes };
   }
 
@@ -74,11 +80,11 @@
     });
     if (!this.jsonEnabled()) ux.action.stop(outcome.isOk() ? 'accepted' : 'not accepted');
     if (outcome.isOk()) return outcome.value;
-    throw new FailureError(await this.#explained(port, edit, outcome.error));
+    throw new FailureError(await this.#explainConflict(port, edit, outcome.error));
   }
 
-  /** Adds to a conflict what the others changed and what this text would change. */
-  async #explained(
+  /** Adds to an edit conflict what other edits changed and what this text would change. */
+  async #explainConflict(
     port: KeyValuePort,
     { baseVersion, compiled }: { baseVersion: number; compiled: Configuration },
     failure: Failure,
@@ -92,15 +98,15 @@
     return { ...failure, data: { ...failure.data, ...differences } };
   }
 
-  async #wait(
+  async #waitForPropagation(
     flags: Parameters<Apply['openFleet']>[0],
     version: number,
     waitS: number,
   ): Promise<number> {
-    const { ask, entries } = await this.openFleet(flags);
-    const processes = must(
-      await waitForSpread({
-        ask,
+    const { callMember, entries } = await this.openFleet(flags);
+    const processes = unwrapOrThrow(
+      await waitForPropagation({
+        callMember,
         entries,
         version,
         timeoutMs: waitS * MS_PER_S,
--- a/packages/cli/src/commands/check.ts
+++ b/packages/cli/src/commands/check.ts
@@ -1,7 +1,7 @@
-/** `cassiamast check FILE`: finds every fault of a text, without touching anything. */
+/** `cassiamast check FILE`: reports every fault of a text without changing anything. */
 import { Args } from '@oclif/core';
 import { compileFile } from '../core/configuration/compile-file.js';
-import { must, OperatorCommand } from '../core/process/command.js';
+import { unwrapOrThrow, OperatorCommand } from '../core/process/command.js';
 
 export default class Check extends OperatorCommand {
   static override description = 'Check a text and report every fault with line and column.';
@@ -10,7 +10,7 @@
   async run(): Promise<object> {
     const { args } = await this.parse(Check);
     const text = await this.readText(args.file);
-    const { services, workspaces } = must(compileFile(args.file, text));
+    const { services, workspaces } = unwrapOrThrow(compileFile(args.file, text));
     const targets = services.reduce((count, service) => count + service.targets.length, 0);
     const counts = { services: services.length, targets, workspaces: workspaces.length };
     this.log(
--- a/packages/cli/src/commands/diff.ts
+++ b/packages/cli/src/commands/diff.ts
@@ -1,4 +1,4 @@
-/** `cassiamast diff FILE`: what a text would change, compared with a version or another file. */
+/** `cassiamast diff FILE`: shows what a text would change, compared with a version or another file. */
 import { Args, Flags } from '@oclif/core';
 import type { Configuration } from '@cassiamast/coordination';
 import { diffConfigurations, differenceText } from '@cassiamast/config-text';
@@ -6,12 +6,12 @@
 import { readVersion } from '../core/configuration/read.js';
 import {
   KEY_VALUE_FLAGS,
-  must,
+  unwrapOrThrow,
   OperatorCommand,
   type ParsedConnectionFlags,
 } from '../core/process/command.js';
 
-/** What a text is compared with. */
+/** Flags that select what the text is compared with. */
 interface BaselineFlags extends ParsedConnectionFlags {
   readonly against?: string | undefined;
   readonly version?: number | undefined;
@@ -28,18 +28,19 @@
 
   async run(): Promise<object> {
     const { args, flags } = await this.parse(Diff);
-    const after = must(compileFile(args.file, await this.readText(args.file)));
-    const before = await this.#before(flags);
+    const after = unwrapOrThrow(compileFile(args.file, await this.readText(args.file)));
+    const before = await this.#readBaseline(flags);
     const differences = diffConfigurations(before, after);
     if (differences.length === 0) this.log('No differences.');
     for (const difference of differences) this.log(differenceText(difference));
     return { differences };
   }
 
-  async #before(flags: BaselineFlags): Promise<Configuration> {
+  async #readBaseline(flags: BaselineFlags): Promise<Configuration> {
     const { against, version } = flags;
-    if (against !== undefined) return must(compileFile(against, await this.readText(against)));
+    if (against !== undefined)
+      return unwrapOrThrow(compileFile(against, await this.readText(against)));
     const port = await this.openKeyValue(flags);
-    return must(await readVersion(port, version ?? null)).compiled;
+    return unwrapOrThrow(await readVersion(port, version ?? null)).compiled;
   }
 }
--- a/packages/cli/src/commands/history.ts
+++ b/packages/cli/src/commands/history.ts
@@ -1,9 +1,9 @@
-/** `cassiamast history`: who changed the configuration, and when. */
+/** `cassiamast history`: lists who changed the configuration, and when. */
 import { Flags } from '@oclif/core';
 import { MAX_HISTORY_VERSIONS } from '@cassiamast/coordination';
 import { readHistory } from '../core/configuration/read.js';
 import { table } from '../core/output/table.js';
-import { KEY_VALUE_FLAGS, must, OperatorCommand } from '../core/process/command.js';
+import { KEY_VALUE_FLAGS, unwrapOrThrow, OperatorCommand } from '../core/process/command.js';
 
 const DEFAULT_LIMIT = 10;
 
@@ -23,7 +23,7 @@
     const { flags } = await this.parse(History);
     const port = await this.openKeyValue(flags);
     const progress = this.progress('Reading the history');
-    const versions = must(
+    const versions = unwrapOrThrow(
       await readHistory(port, flags.limit, (read) => {
         progress(read, flags.limit);
       }),
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -1,10 +1,10 @@
-/** `cassiamast status`: how every process, service and target stands. */
+/** `cassiamast status`: prints the state of every process, service and target. */
 import type { ProcessStatus } from '@cassiamast/coordination';
 import { fleetView } from '../core/fleet/fleet-view.js';
 import { gather } from '../core/fleet/gather.js';
 import { ReadMethod } from '../core/fleet/member-client.js';
 import { statusLines } from '../core/fleet/render.js';
-import { ENTRY_FLAGS, must, OperatorCommand } from '../core/process/command.js';
+import { ENTRY_FLAGS, unwrapOrThrow, OperatorCommand } from '../core/process/command.js';
 import { ExitCode } from '../core/process/exit-code.js';
 
 export default class Status extends OperatorCommand {
@@ -13,11 +13,11 @@
 
   async run(): Promise<object> {
     const { flags } = await this.parse(Status);
-    const { ask, entries } = await this.openFleet(flags);
+    const { callMember, entries } = await this.openFleet(flags);
     const onProgress = this.progress('Asking the processes');
-    const { answers, members, unreachable } = must(
+    const { answers, members, unreachable } = unwrapOrThrow(
       await gather<ProcessStatus>(
-        ask,
+        callMember,
         entries,
         ReadMethod.Status,
         { withMembers: false },
--- a/packages/cli/src/commands/timeline.ts
+++ b/packages/cli/src/commands/timeline.ts
@@ -1,4 +1,4 @@
-/** `cassiamast timeline`: the events of all processes in causal order. */
+/** `cassiamast timeline`: prints the events of all processes in causal order. */
 import { Flags } from '@oclif/core';
 import {
   EventKind,
@@ -10,7 +10,7 @@
 import { TIMELINE_WRITERS, TimelineFormat } from '../core/fleet/formats.js';
 import { gather } from '../core/fleet/gather.js';
 import { ReadMethod } from '../core/fleet/member-client.js';
-import { ENTRY_FLAGS, must, OperatorCommand } from '../core/process/command.js';
+import { ENTRY_FLAGS, unwrapOrThrow, OperatorCommand } from '../core/process/command.js';
 import { ExitCode } from '../core/process/exit-code.js';
 
 export default class Timeline extends OperatorCommand {
@@ -43,7 +43,7 @@
 
   async run(): Promise<object> {
     const { flags } = await this.parse(Timeline);
-    const { ask, entries } = await this.openFleet(flags);
+    const { callMember, entries } = await this.openFleet(flags);
     const query: TimelineQuery = {
       request: flags.request,
       workspace: flags.workspace,
@@ -53,8 +53,8 @@
       limit: flags.limit,
     };
     const onProgress = this.progress('Asking the processes');
-    const { answers, unreachable } = must(
-      await gather<ProcessTimeline>(ask, entries, ReadMethod.Timeline, query, onProgress),
+    const { answers, unreachable } = unwrapOrThrow(
+      await gather<ProcessTimeline>(callMember, entries, ReadMethod.Timeline, query, onProgress),
     );
     const timeline = mergeTimelines(answers, unreachable);
     const written = TIMELINE_WRITERS[flags.format](timeline);
--- a/packages/cli/src/commands/watch.ts
+++ b/packages/cli/src/commands/watch.ts
@@ -1,9 +1,9 @@
-/** `cassiamast watch`: goodput, mix, roles, members and the configuration's spread, live. */
+/** `cassiamast watch`: live view of goodput, token mix, roles, members and configuration versions. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { Flags } from '@oclif/core';
 import { watchLines } from '../core/fleet/render.js';
 import { watchFleet, type Refresh } from '../core/fleet/watching.js';
-import { ENTRY_FLAGS, must, OperatorCommand } from '../core/process/command.js';
+import { ENTRY_FLAGS, unwrapOrThrow, OperatorCommand } from '../core/process/command.js';
 
 const MS_PER_S = 1_000;
 const DEFAULT_INTERVAL_S = 2;
@@ -24,10 +24,10 @@
 
   async run(): Promise<void> {
     const { flags } = await this.parse(Watch);
-    const { ask, entries } = await this.openFleet(flags);
-    must(
+    const { callMember, entries } = await this.openFleet(flags);
+    unwrapOrThrow(
       await watchFleet({
-        ask,
+        callMember,
         entries,
         intervalMs: flags['interval-s'] * MS_PER_S,
         count: flags.count ?? Number.POSITIVE_INFINITY,
@@ -43,7 +43,7 @@
 
   #show(refresh: Refresh): void {
     if (this.jsonEnabled()) {
-      // this.log is silent under --json, and one line per refresh is what a pipe can follow.
+      // this.log prints nothing under --json. One line per refresh lets a pipe process the output.
       console.log(JSON.stringify(refresh));
       return;
     }
--- a/packages/cli/src/core/fleet/fleet-view.ts
+++ b/packages/cli/src/core/fleet/fleet-view.ts
@@ -1,6 +1,7 @@
 /**
- * What all processes' statuses say together: versions in force, roles, goodput and mix. Pure; where
- * two processes differ, the view says so instead of choosing one.
+ * Aggregates the statuses of all processes into one view of the fleet: active configuration versions,
+ * roles, goodput and token mix. The functions are pure. The view lists every configuration version
+ * in use and counts the entries that disagree on whether a service is ready.
  */
 import {
   EngineRole,
@@ -14,24 +15,24 @@
   MemberState,
 } from '@cassiamast/coordination';
 
-/** One version and the processes that act on it. */
+/** A configuration version and the processes that have it active. */
 export interface VersionShare {
   readonly version: number;
   readonly processes: readonly string[];
 }
 
-/** One service over all entries. */
+/** A service, aggregated over all entries. */
 export interface ServiceView {
   readonly name: string;
-  /** Entries that see it ready, and all entries that answered. */
+  /** Number of entries that report the service as ready; `seenBy` counts all that report it. */
   readonly readyAt: number;
   readonly seenBy: number;
-  /** Why some entry sees it not ready; empty when all see it ready. */
+  /** The reason of the first entry that reports it as not ready; empty when there is none. */
   readonly reason: string;
-  /** Each target by the freshest report of any entry. */
+  /** For each target, the most recent report of any entry. */
   readonly targets: readonly TargetStatus[];
   readonly roles: Readonly<Record<EngineRole, number>>;
-  /** The holder with the highest fencing number that any process knows. */
+  /** The lease holder with the highest fencing token that any entry reports. */
   readonly authority: string | null;
   readonly fence: number | null;
   readonly goodput: GoodputStatus;
@@ -40,20 +41,20 @@
   readonly roleChanges: number;
 }
 
-/** The whole fleet. */
+/** The state of the whole fleet. */
 export interface FleetView {
   readonly processes: number;
   readonly membersByState: Readonly<Record<MemberState, number>>;
-  /** Newest first; more than one while an edit spreads. */
+  /** Newest first; there is more than one while an edit propagates. */
   readonly versions: readonly VersionShare[];
-  /** Processes that are cut off and take no new work. */
+  /** Processes that are cut off and accept no new work. */
   readonly doubtful: readonly string[];
   readonly stopping: readonly string[];
   readonly services: readonly ServiceView[];
   readonly unreachable: readonly UnreachableProcess[];
 }
 
-/** Puts the statuses together. */
+/** Aggregates statuses into a view of the fleet. */
 export function fleetView(
   statuses: readonly ProcessStatus[],
   members: readonly MemberStatus[],
@@ -97,7 +98,7 @@
     versions.set(version, [...(versions.get(version) ?? []), status]);
   }
   return [...versions]
-    .map(([version, holders]) => ({ version, processes: idsOf(holders) }))
+    .map(([version, reporting]) => ({ version, processes: idsOf(reporting) }))
     .sort((a, b) => b.version - a.version);
 }
 
@@ -169,7 +170,7 @@
   };
 }
 
-/** What happened a second between two views. */
+/** Rates of a service between two views, per second. */
 export interface ServiceRates {
   readonly name: string;
   readonly answeredPerS: number;
@@ -178,23 +179,29 @@
   readonly outputTokensPerS: number;
 }
 
-/** Rates between two views. A counter that fell belongs to a process that started anew: from 0. */
+/**
+ * Computes the rates between two views. A counter that decreased belongs to a process that has
+ * restarted, and is counted from 0.
+ */
 export function ratesBetween(
   before: FleetView,
   after: FleetView,
   elapsedMs: number,
 ): readonly ServiceRates[] {
   const previous = new Map(before.services.map(({ name, goodput }) => [name, goodput]));
-  const perS = (now: number, was: number | undefined): number =>
-    elapsedMs <= 0 ? 0 : ((now >= (was ?? 0) ? now - (was ?? 0) : now) * 1_000) / elapsedMs;
+  const perS = (count: number, previousCount: number | undefined): number =>
+    elapsedMs <= 0
+      ? 0
+      : ((count >= (previousCount ?? 0) ? count - (previousCount ?? 0) : count) * 1_000) /
+        elapsedMs;
   return after.services.map(({ name, goodput }) => {
-    const was = previous.get(name);
+    const previousGoodput = previous.get(name);
     return {
       name,
-      answeredPerS: perS(goodput.answered, was?.answered),
-      goodputPerS: perS(goodput.answeredWithinGoals, was?.answeredWithinGoals),
-      refusedPerS: perS(goodput.refusedNotRun, was?.refusedNotRun),
-      outputTokensPerS: perS(goodput.outputTokens, was?.outputTokens),
+      answeredPerS: perS(goodput.answered, previousGoodput?.answered),
+      goodputPerS: perS(goodput.answeredWithinGoals, previousGoodput?.answeredWithinGoals),
+      refusedPerS: perS(goodput.refusedNotRun, previousGoodput?.refusedNotRun),
+      outputTokensPerS: perS(goodput.outputTokens, previousGoodput?.outputTokens),
     };
   });
 }
--- a/packages/cli/src/core/fleet/formats.ts
+++ b/packages/cli/src/core/fleet/formats.ts
@@ -1,5 +1,5 @@
 /**
- * The formats of the time line, by the name that operators give.
+ * Maps the output formats of the `timeline` command to the functions that write them.
  */
 import {
   timelineJson,
@@ -13,13 +13,13 @@
 export enum TimelineFormat {
   Text = 'text',
   Json = 'json',
-  /** The Trace Event Format of trace viewers. */
+  /** The Trace Event Format, which trace viewers read. */
   Trace = 'trace',
-  /** One page for a browser. */
+  /** A single HTML page. */
   Html = 'html',
 }
 
-/** The writer of each format. */
+/** The function that writes each format. */
 export const TIMELINE_WRITERS: Readonly<Record<TimelineFormat, (timeline: Timeline) => string>> = {
   [TimelineFormat.Text]: timelineText,
   [TimelineFormat.Json]: timelineJson,
--- a/packages/cli/src/core/fleet/gather.ts
+++ b/packages/cli/src/core/fleet/gather.ts
@@ -1,6 +1,6 @@
 /**
- * Asks every member: the list comes from the first entry that answers, the questions go out a bounded number at a time,
- * and whoever could not be reached is named.
+ * Calls a read method on every member of the fleet with bounded concurrency. The member list comes
+ * from the first entry that responds, and members that cannot be reached are listed in the result.
  */
 import {
   MemberState,
@@ -10,12 +10,12 @@
   type UnreachableProcess,
 } from '@cassiamast/coordination';
 import { ok, type Result } from 'neverthrow';
-import { ReadMethod, type AskMember } from './member-client.js';
+import { ReadMethod, type CallMember } from './member-client.js';
 
-/** Members asked at once; a fleet of 1,140 that answers in 5 ms takes under a second. */
-const MAX_PARALLEL = 16;
+/** Concurrent calls; 1,140 members that respond in 5 ms each take less than a second in total. */
+const MAX_CONCURRENT_CALLS = 16;
 
-/** What the members said. */
+/** The responses of all members. */
 export interface Gathered<Answer> {
   readonly answers: readonly Answer[];
   readonly unreachable: readonly UnreachableProcess[];
@@ -25,41 +25,42 @@
 /** Control addresses of entries; at least one. */
 export type Entries = readonly [string, ...string[]];
 
-/** Told after each answer. */
+/** Called after each member has responded or failed. */
 export type OnProgress = (done: number, total: number) => void;
 
 /**
- * The members that the first entry to answer knows, itself included. An operator often asks just
- * when an entry is down, so the next one is asked then.
+ * Returns the members known to the first entry that responds, including the entry itself. Entries
+ * are tried in order, because operators often run a command while an entry is down.
  */
 export async function readMembers(
-  ask: AskMember,
+  callMember: CallMember,
   entries: Entries,
 ): Promise<Result<readonly MemberStatus[], Failure>> {
   const [entry, next, ...others] = entries;
-  const status = await ask<ProcessStatus>(entry, ReadMethod.Status, { withMembers: true });
-  if (status.isErr() && next !== undefined) return readMembers(ask, [next, ...others]);
-  return status.map((own) => withItself(own));
+  const status = await callMember<ProcessStatus>(entry, ReadMethod.Status, { withMembers: true });
+  if (status.isErr() && next !== undefined) return readMembers(callMember, [next, ...others]);
+  return status.map((own) => withOwnMember(own));
 }
 
-function withItself(own: ProcessStatus): readonly MemberStatus[] {
+function withOwnMember(own: ProcessStatus): readonly MemberStatus[] {
   const members = own.members ?? [];
   if (members.some(({ id }) => id === own.memberId)) return members;
   const { memberId: id, kind, failureDomain, target } = own;
   return [...members, { id, kind, failureDomain, target, state: MemberState.Alive }];
 }
 
-/** Asks all members that an entry knows. Errors only when none of the entries answers. */
+/** Calls all members that an entry lists. Fails only when none of the entries responds. */
 export async function gather<Answer>(
-  ask: AskMember,
+  callMember: CallMember,
   entries: Entries,
   method: ReadMethod,
   params: object,
   onProgress: OnProgress,
 ): Promise<Result<Gathered<Answer>, Failure>> {
-  const list = await readMembers(ask, entries);
-  if (list.isErr()) return list.map(() => ({ answers: [], unreachable: [], members: [] }));
-  const members = list.value;
+  const memberList = await readMembers(callMember, entries);
+  if (memberList.isErr())
+    return memberList.map(() => ({ answers: [], unreachable: [], members: [] }));
+  const members = memberList.value;
   const answers: Answer[] = [];
   const unreachable: UnreachableProcess[] = members
     .filter(({ state }) => state === MemberState.Dead)
@@ -68,9 +69,9 @@
   const total = queue.length;
   let done = 0;
 
-  async function work(): Promise<void> {
+  async function processQueue(): Promise<void> {
     for (let member = queue.shift(); member !== undefined; member = queue.shift()) {
-      const answer = await ask<Answer>(member.id, method, params);
+      const answer = await callMember<Answer>(member.id, method, params);
       if (answer.isOk()) answers.push(answer.value);
       else unreachable.push({ memberId: member.id, reason: reasonOf(answer.error) });
       done += 1;
@@ -78,7 +79,7 @@
     }
   }
 
-  await Promise.all(Array.from({ length: Math.min(MAX_PARALLEL, total) }, work));
+  await Promise.all(Array.from({ length: Math.min(MAX_CONCURRENT_CALLS, total) }, processQueue));
   return ok({ answers, unreachable, members });
 }
 
--- a/packages/cli/src/core/fleet/member-client.ts
+++ b/packages/cli/src/core/fleet/member-client.ts
@@ -1,5 +1,6 @@
 /**
- * Asks members over their control port: JSON-RPC 2.0 by `POST /rpc` with the members' secret.
+ * Client for the control ports of members. It sends JSON-RPC 2.0 calls as `POST /rpc`, authorized
+ * with the members' secret.
  */
 import type { Failure } from '@cassiamast/coordination';
 import { createJSONRPCRequest, isJSONRPCResponse } from 'json-rpc-2.0';
@@ -7,37 +8,37 @@
 import { Agent, request } from 'undici';
 import { UNKNOWN_MEMBER_ANSWER } from '../process/failures.js';
 
-/** A process that does not answer in this time is reported as unreachable. */
+/** A process that does not respond within this time is reported as unreachable. */
 export const MEMBER_TIMEOUT_MS = 3_000;
 
-/** The largest answer read: a full ring of events, or the list of a thousand members. */
-const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
+/** Largest response accepted. It fits a full ring buffer of events or a list of 1,000 members. */
+const MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
-/** Methods that the command line calls; all of them only read. */
+/** Methods that the command line calls; all are read-only. */
 export enum ReadMethod {
   Status = 'status.read',
   Timeline = 'timeline.read',
   Metrics = 'metrics.read',
 }
 
-/** Asks one member. */
-export type AskMember = <Answer>(
+/** Calls a method on one member. */
+export type CallMember = <Answer>(
   member: string,
   method: ReadMethod,
   params: object,
 ) => Promise<Result<Answer, Failure>>;
 
-/** The client and the means to let go of its connections. */
+/** A client for members, and the function that closes its connections. */
 export interface MemberClient {
-  readonly ask: AskMember;
+  readonly callMember: CallMember;
   readonly close: () => Promise<void>;
 }
 
-/** Makes a client that shows the secret. */
+/** Creates a client that sends the secret with each call. */
 export function createMemberClient(secret: string): MemberClient {
   const dispatcher = new Agent({
     connect: { timeout: MEMBER_TIMEOUT_MS },
-    maxResponseSize: MAX_ANSWER_BYTES,
+    maxResponseSize: MAX_RESPONSE_BYTES,
   });
   const headers = { authorization: `Bearer ${secret}`, 'content-type': 'application/json' };
   let lastId = 0;
@@ -55,9 +56,9 @@
   }
 
   return {
-    ask: async <Answer>(member: string, method: ReadMethod, params: object) => {
+    callMember: async <Answer>(member: string, method: ReadMethod, params: object) => {
       try {
-        return readAnswer<Answer>(member, await exchange(member, method, params));
+        return parseResponse<Answer>(member, await exchange(member, method, params));
       } catch (error) {
         return err(UNKNOWN_MEMBER_ANSWER.of({ member, cause: causeOf(error) }));
       }
@@ -72,7 +73,7 @@
   return code ?? 'no answer';
 }
 
-function readAnswer<Answer>(member: string, body: unknown): Result<Answer, Failure> {
+function parseResponse<Answer>(member: string, body: unknown): Result<Answer, Failure> {
   if (isJSONRPCResponse(body) && !body.error) return ok(body.result as Answer);
   const failure = isJSONRPCResponse(body) ? (body.error?.data ?? body.error) : body;
   return err(UNKNOWN_MEMBER_ANSWER.of({ member, cause: messageOf(failure) }));
--- a/packages/cli/src/core/fleet/render.ts
+++ b/packages/cli/src/core/fleet/render.ts
@@ -1,16 +1,16 @@
 /**
- * The fleet as lines for the terminal, for `status` and `watch`.
+ * Formats the view of the fleet as lines for the terminal, for `status` and `watch`.
  */
 import { EngineRole, MemberState, type TargetStatus } from '@cassiamast/coordination';
 import { table } from '../output/table.js';
 import type { FleetView, ServiceRates, ServiceView } from './fleet-view.js';
 
 const PERCENT = 100;
-const MAX_NAMED = 6;
+const MAX_LISTED = 6;
 
-function named(ids: readonly string[]): string {
-  const shown = ids.slice(0, MAX_NAMED).join(', ');
-  const more = ids.length - MAX_NAMED;
+function listIds(ids: readonly string[]): string {
+  const shown = ids.slice(0, MAX_LISTED).join(', ');
+  const more = ids.length - MAX_LISTED;
   return more > 0 ? `${shown} and ${String(more)} more` : shown;
 }
 
@@ -32,10 +32,10 @@
     `configuration  version ${String(newest.version)}, ${spread}`,
     ...older.map(
       ({ version, processes }) =>
-        `               version ${String(version)} still at ${named(processes)}`,
+        `               version ${String(version)} still at ${listIds(processes)}`,
     ),
-    ...(doubtful.length === 0 ? [] : [`cut off        ${named(doubtful)}: no new work there`]),
-    ...(stopping.length === 0 ? [] : [`stopping       ${named(stopping)}`]),
+    ...(doubtful.length === 0 ? [] : [`cut off        ${listIds(doubtful)}: no new work there`]),
+    ...(stopping.length === 0 ? [] : [`stopping       ${listIds(stopping)}`]),
   ];
 }
 
@@ -129,7 +129,7 @@
   return unreachable.map(({ memberId, reason }) => `not reached    ${memberId}: ${reason}`);
 }
 
-/** Everything, for `status`. */
+/** Formats the complete view, for `status`. */
 export function statusLines(view: FleetView): string[] {
   return [
     memberLine(view),
@@ -141,12 +141,12 @@
   ];
 }
 
-/** What changes from second to second, for `watch`. */
+/** Formats the parts of the view that change often, with rates, for `watch`. */
 export function watchLines(view: FleetView, rates: readonly ServiceRates[]): string[] {
   return [
     memberLine(view),
     ...versionLines(view),
-    ...unreachableLines(view).slice(0, MAX_NAMED),
+    ...unreachableLines(view).slice(0, MAX_LISTED),
     '',
     ...serviceTable(view, rates),
   ];
--- a/packages/cli/src/core/fleet/spread.ts
+++ b/packages/cli/src/core/fleet/spread.ts
@@ -1,18 +1,17 @@
 /**
- * Waits until a version is in force at every process.
+ * Waits until a configuration version is active at every process.
  */
 import type { Failure, ProcessStatus } from '@cassiamast/coordination';
 import { err, ok, type Result } from 'neverthrow';
 import { NOT_IN_FORCE } from '../process/failures.js';
 import { gather, type Entries, type OnProgress } from './gather.js';
-import { ReadMethod, type AskMember } from './member-client.js';
+import { ReadMethod, type CallMember } from './member-client.js';
 
-/** Between two rounds of questions. */
-const ROUND_MS = 500;
+const POLL_INTERVAL_MS = 500;
 
-/** What waiting needs. */
-export interface SpreadOptions {
-  readonly ask: AskMember;
+/** Options of {@link waitForPropagation}. */
+export interface PropagationOptions {
+  readonly callMember: CallMember;
   readonly entries: Entries;
   readonly version: number;
   readonly timeoutMs: number;
@@ -21,27 +20,32 @@
   readonly onProgress: OnProgress;
 }
 
-/** Waits for the version. Gives the number of processes; errors: `not-in-force-everywhere`. */
-export async function waitForSpread(options: SpreadOptions): Promise<Result<number, Failure>> {
-  const giveUpAtMs = options.nowMs() + options.timeoutMs;
+/**
+ * Polls all processes until the version is active everywhere. Returns the number of processes.
+ * Errors: `not-in-force-everywhere`, after the timeout.
+ */
+export async function waitForPropagation(
+  options: PropagationOptions,
+): Promise<Result<number, Failure>> {
+  const deadlineMs = options.nowMs() + options.timeoutMs;
   for (;;) {
-    const { behind, total } = await askRound(options);
+    const { behind, total } = await pollVersions(options);
     options.onProgress(total - behind.length, total);
     if (total > 0 && behind.length === 0) return ok(total);
-    if (options.nowMs() >= giveUpAtMs) {
+    if (options.nowMs() >= deadlineMs) {
       return err(NOT_IN_FORCE.of({ version: options.version, behind }));
     }
-    await options.sleep(ROUND_MS);
+    await options.sleep(POLL_INTERVAL_MS);
   }
 }
 
-async function askRound({
-  ask,
+async function pollVersions({
+  callMember,
   entries,
   version,
-}: SpreadOptions): Promise<{ readonly behind: readonly string[]; readonly total: number }> {
+}: PropagationOptions): Promise<{ readonly behind: readonly string[]; readonly total: number }> {
   const gathered = await gather<ProcessStatus>(
-    ask,
+    callMember,
     entries,
     ReadMethod.Status,
     { withMembers: false },
@@ -50,7 +54,7 @@
   if (gathered.isErr()) return { behind: entries, total: entries.length };
   const { answers, unreachable } = gathered.value;
   const older = answers.filter((status) => status.configurationVersion < version);
-  const silent = unreachable.filter(({ reason }) => !reason.includes('dead'));
-  const behind = [...older, ...silent].map(({ memberId }) => memberId).sort();
-  return { behind, total: answers.length + silent.length };
+  const unresponsive = unreachable.filter(({ reason }) => !reason.includes('dead'));
+  const behind = [...older, ...unresponsive].map(({ memberId }) => memberId).sort();
+  return { behind, total: answers.length + unresponsive.length };
 }
--- a/packages/cli/src/core/fleet/watching.ts
+++ b/packages/cli/src/core/fleet/watching.ts
@@ -1,26 +1,27 @@
 /**
- * The live view: asks the fleet again and again and works out the rates between two rounds.
+ * Drives the live view of the fleet: polls all processes at an interval and computes the rates
+ * between consecutive polls.
  */
 import type { Failure, ProcessStatus } from '@cassiamast/coordination';
 import { ok, type Result } from 'neverthrow';
 import { fleetView, ratesBetween, type FleetView, type ServiceRates } from './fleet-view.js';
 import { gather, type Entries } from './gather.js';
-import { ReadMethod, type AskMember } from './member-client.js';
+import { ReadMethod, type CallMember } from './member-client.js';
 
 /** One refresh of the view. */
 export interface Refresh {
   readonly atWallMs: number;
   readonly view: FleetView;
-  /** Since the refresh before; none in the first. */
+  /** Rates since the previous refresh; empty in the first. */
   readonly rates: readonly ServiceRates[];
 }
 
-/** What watching needs. */
+/** Options of {@link watchFleet}. */
 export interface WatchOptions {
-  readonly ask: AskMember;
+  readonly callMember: CallMember;
   readonly entries: Entries;
   readonly intervalMs: number;
-  /** Refreshes to make; infinite where the operator named no number. */
+  /** Number of refreshes; infinite when the operator gives none. */
   readonly count: number;
   readonly nowMs: () => number;
   readonly wallMs: () => number;
@@ -28,16 +29,16 @@
   readonly onRefresh: (refresh: Refresh) => void;
 }
 
-/** Watches until the count is reached. Errors only when the first round finds no entry. */
+/** Watches until the count is reached. Fails only when no entry responds to the first poll. */
 export async function watchFleet(options: WatchOptions): Promise<Result<Refresh, Failure>> {
-  const first = await takeRound(options);
+  const first = await pollFleet(options);
   if (first.isErr()) return first.map(({ refresh }) => refresh);
   let latest = first.value;
   options.onRefresh(latest.refresh);
-  for (let made = 1; made < options.count; made += 1) {
+  for (let refreshCount = 1; refreshCount < options.count; refreshCount += 1) {
     await options.sleep(options.intervalMs);
-    const next = await takeRound(options, latest);
-    // An entry that is away for a moment must not end a live view: the next round tries again.
+    const next = await pollFleet(options, latest);
+    // A temporary outage of the entries must not end the live view; the next poll tries again.
     if (next.isErr()) continue;
     latest = next.value;
     options.onRefresh(latest.refresh);
@@ -45,17 +46,17 @@
   return ok(latest.refresh);
 }
 
-interface Round {
+interface FleetPoll {
   readonly refresh: Refresh;
-  readonly takenAtMs: number;
+  readonly polledAtMs: number;
 }
 
-async function takeRound(
-  { ask, entries, nowMs, wallMs }: WatchOptions,
-  previous?: Round,
-): Promise<Result<Round, Failure>> {
+async function pollFleet(
+  { callMember, entries, nowMs, wallMs }: WatchOptions,
+  previous?: FleetPoll,
+): Promise<Result<FleetPoll, Failure>> {
   const gathered = await gather<ProcessStatus>(
-    ask,
+    callMember,
     entries,
     ReadMethod.Status,
     { withMembers: false },
@@ -63,10 +64,10 @@
   );
   return gathered.map(({ answers, members, unreachable }) => {
     const view = fleetView(answers, members, unreachable);
-    const takenAtMs = nowMs();
-    const elapsedMs = previous === undefined ? 0 : takenAtMs - previous.takenAtMs;
+    const polledAtMs = nowMs();
+    const elapsedMs = previous === undefined ? 0 : polledAtMs - previous.polledAtMs;
     const rates =
       previous === undefined ? [] : ratesBetween(previous.refresh.view, view, elapsedMs);
-    return { refresh: { atWallMs: wallMs(), view, rates }, takenAtMs };
+    return { refresh: { atWallMs: wallMs(), view, rates }, polledAtMs };
   });
 }
--- a/packages/cli/src/core/output/faults.ts
+++ b/packages/cli/src/core/output/faults.ts
@@ -1,17 +1,17 @@
 /**
- * Failures as an operator reads them in the terminal.
+ * Formats failures as lines for the terminal.
  */
 import type { Failure } from '@cassiamast/coordination';
 import type { TextFault } from '@cassiamast/config-text';
 import { TEXT_FAULTY } from '../process/failures.js';
 
-/** A fault in the form that editors and terminals turn into a link: `file:line:column`. */
+/** Formats a fault; editors and terminals turn its `file:line:column` prefix into a link. */
 export function faultLines(file: string, fault: TextFault): string[] {
-  const place = `${file}:${String(fault.line)}:${String(fault.column)}`;
-  return [`${place}: ${fault.title}: ${fault.message}`, `    ${fault.hint}`];
+  const location = `${file}:${String(fault.line)}:${String(fault.column)}`;
+  return [`${location}: ${fault.title}: ${fault.message}`, `    ${fault.hint}`];
 }
 
-/** A failure with all that it carries. */
+/** Formats a failure, preceded by each fault of the text if it has any. */
 export function failureLines(failure: Failure): string[] {
   const details = TEXT_FAULTY.is(failure)
     ? failure.data.faults.flatMap((fault) => faultLines(failure.data.file, fault))
--- a/packages/cli/src/core/output/table.ts
+++ b/packages/cli/src/core/output/table.ts
@@ -1,10 +1,10 @@
 /**
- * Plain tables for the terminal.
+ * Formats plain-text tables for the terminal.
  */
 
-const GAP = '  ';
+const COLUMN_GAP = '  ';
 
-/** Aligns rows under their headings; columns are as wide as their widest cell. */
+/** Aligns rows under their headings; each column is as wide as its widest cell. */
 export function table(headings: readonly string[], rows: readonly (readonly string[])[]): string[] {
   const widths = headings.map((heading, column) =>
     rows.reduce((widest, row) => Math.max(widest, row[column]?.length ?? 0), heading.length),
@@ -12,7 +12,7 @@
   return [headings, ...rows].map((row) =>
     row
       .map((cell, column) => cell.padEnd(widths[column] ?? 0))
-      .join(GAP)
+      .join(COLUMN_GAP)
       .trimEnd(),
   );
 }
--- a/packages/cli/src/core/process/command.ts
+++ b/packages/cli/src/core/process/command.ts
@@ -1,6 +1,6 @@
 /**
- * What every command shares: flags for the connection, failures turned into lines or JSON and an
- * exit code, and clients that are closed at the end.
+ * Base class and shared flags of all commands. The base class opens the clients that a command
+ * needs, closes them when the command ends, and reports failures as text or JSON with an exit code.
  */
 import { readFile, writeFile } from 'node:fs/promises';
 import { Command, Flags, ux } from '@oclif/core';
@@ -15,20 +15,20 @@
   type ConnectionFlags,
 } from '../connection/connection.js';
 import type { Entries } from '../fleet/gather.js';
-import { createMemberClient, type AskMember } from '../fleet/member-client.js';
+import { createMemberClient, type CallMember } from '../fleet/member-client.js';
 import { failureLines } from '../output/faults.js';
 import { exitCodeOf, ExitCode } from './exit-code.js';
 import { FILE_UNREADABLE } from './failures.js';
 
 const connectionFlag = Flags.string({ description: 'YAML file with keyValue, entry, secretFile' });
 
-/** Flags of commands that talk to the key-value service. */
+/** Flags of commands that use the key-value service. */
 export const KEY_VALUE_FLAGS = {
   connection: connectionFlag,
   'key-value': Flags.string({ description: 'URL of the key-value service', multiple: true }),
 };
 
-/** Flags of commands that ask the processes. */
+/** Flags of commands that query the processes. */
 export const ENTRY_FLAGS = {
   connection: connectionFlag,
   entry: Flags.string({
@@ -38,7 +38,7 @@
   'secret-file': Flags.string({ description: 'file with the members’ secret' }),
 };
 
-/** The flags that say where to connect, as oclif parses them. */
+/** The connection flags as oclif parses them. */
 export interface ParsedConnectionFlags {
   readonly connection?: string | undefined;
   readonly 'key-value'?: readonly string[] | undefined;
@@ -46,38 +46,38 @@
   readonly 'secret-file'?: string | undefined;
 }
 
-/** Takes the value, or ends the command with the failure. */
-export function must<Value>(result: Result<Value, Failure>): Value {
+/** Returns the value of a result. Throws a `FailureError`, which ends the command, on failure. */
+export function unwrapOrThrow<Value>(result: Result<Value, Failure>): Value {
   if (result.isOk()) return result.value;
   throw new FailureError(result.error);
 }
 
-/** The base of all commands. */
+/** Base class of all commands. */
 export abstract class OperatorCommand extends Command {
   static override enableJsonFlag = true;
 
   readonly #closers: (() => Promise<void>)[] = [];
 
-  /** Opens the key-value service named by flags, environment or file. */
+  /** Creates a client for the key-value service that flags, environment or file specify. */
   protected async openKeyValue(flags: ParsedConnectionFlags): Promise<KeyValueClient> {
-    const endpoints = must(requireKeyValue(await this.#connection(flags)));
+    const endpoints = unwrapOrThrow(requireKeyValue(await this.#connection(flags)));
     const client = createKeyValueClient({ endpoints });
     this.#closers.push(client.close);
     return client;
   }
 
-  /** Opens the way to the processes; the first entry that answers gives the members. */
+  /** Creates a client for the processes, and returns it with the entries that list the members. */
   protected async openFleet(
     flags: ParsedConnectionFlags,
-  ): Promise<{ readonly ask: AskMember; readonly entries: Entries }> {
+  ): Promise<{ readonly callMember: CallMember; readonly entries: Entries }> {
     const connection = await this.#connection(flags);
-    const entries = must(requireEntries(connection));
-    const { ask, close } = createMemberClient(connection.secret);
+    const entries = unwrapOrThrow(requireEntries(connection));
+    const { callMember, close } = createMemberClient(connection.secret);
     this.#closers.push(close);
-    return { ask, entries };
+    return { callMember, entries };
   }
 
-  /** Reads a text file, or ends the command. */
+  /** Reads a text file. Throws `file-unreadable`, which ends the command. */
   protected async readText(file: string): Promise<string> {
     try {
       return await readFile(file, 'utf8');
@@ -86,7 +86,7 @@
     }
   }
 
-  /** Writes what was asked for into a file, or ends the command. */
+  /** Writes the output of a command to a file. Throws `file-unreadable`, which ends the command. */
   protected async writeText(file: string, content: string): Promise<void> {
     try {
       await writeFile(file, content);
@@ -96,17 +96,17 @@
     this.log(`Written to ${file}.`);
   }
 
-  /** Shows on stderr how far something long has come. */
-  protected progress(what: string): (done: number, total: number) => void {
+  /** Returns a callback that shows the progress of a long operation on stderr. */
+  protected progress(action: string): (done: number, total: number) => void {
     if (this.jsonEnabled() || !process.stderr.isTTY) return () => undefined;
-    ux.action.start(what);
+    ux.action.start(action);
     return (done, total) => {
       ux.action.status = `${String(done)} of ${String(total)}`;
       if (done >= total) ux.action.stop();
     };
   }
 
-  /** Ends with a code other than 0 though there is something to show. */
+  /** Sets the exit code of a command that prints its output but did not succeed fully. */
   protected endWith(code: ExitCode): void {
     process.exitCode = code;
   }
@@ -125,12 +125,12 @@
   }
 
   async #connection(flags: ParsedConnectionFlags): Promise<Connection> {
-    const named: ConnectionFlags = {
+    const connectionFlags: ConnectionFlags = {
       connection: flags.connection,
       keyValue: flags['key-value'],
       entry: flags.entry,
       secretFile: flags['secret-file'],
     };
-    return must(await resolveConnection(named, process.env));
+    return unwrapOrThrow(await resolveConnection(connectionFlags, process.env));
   }
 }
--- a/packages/cli/src/core/process/exit-code.ts
+++ b/packages/cli/src/core/process/exit-code.ts
@@ -1,5 +1,5 @@
 /**
- * How a command ends, for scripts. The operators' page `docs/operators/command-line.md` lists the
+ * Maps failures to the exit codes that scripts rely on. The operators' page `docs/operators/command-line.md` lists the
  * same numbers.
  */
 import { editConflict, editNotSent, editUnknown, type Failure } from '@cassiamast/coordination';
@@ -24,13 +24,13 @@
   BadUsage = 2,
   /** The text has faults; nothing was changed. */
   TextFaulty = 3,
-  /** Another edit came first; nothing was changed. */
+  /** Another edit was accepted first; nothing was changed. */
   Conflict = 4,
-  /** Whether the edit was accepted could not be told; run the same command again. */
+  /** It is unknown whether the edit was accepted; run the same command again. */
   Unknown = 5,
-  /** The key-value service or the entry did not answer; nothing was changed. */
+  /** The key-value service or the entry did not respond; nothing was changed. */
   Unreachable = 6,
-  /** The answer lacks processes that could not be reached, or are not there yet. */
+  /** Some processes could not be reached, or have not applied the version yet. */
   Partial = 7,
 }
 
@@ -49,7 +49,7 @@
   [NO_SUCH_VERSION.name, ExitCode.BadUsage],
 ]);
 
-/** The exit code that a failure leads to. */
+/** Returns the exit code for a failure. */
 export function exitCodeOf(failure: Failure): ExitCode {
   return CODES.get(failure.name) ?? ExitCode.Failed;
 }
--- a/packages/cli/src/core/process/failures.ts
+++ b/packages/cli/src/core/process/failures.ts
@@ -1,10 +1,10 @@
 /**
- * Failures of the command line itself.
+ * Defines the failures that the command line reports in addition to those of the libraries.
  */
 import { defineFailure } from '@cassiamast/coordination';
 import type { TextFault } from '@cassiamast/config-text';
 
-/** The faults of one text, with the file they stand in. */
+/** The faults of a text and the file that contains it. */
 export interface TextFaults {
   readonly file: string;
   readonly faults: readonly TextFault[];
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,5 +1,6 @@
 /**
- * The operators' command line. Its commands read, and change nothing but the text.
+ * The operators' command line. All commands are read-only except `apply`, which changes the
+ * configuration text, and `show` and `timeline`, which can write their output to a file.
  */
 import Apply from './commands/apply.js';
 import Check from './commands/check.js';
--- a/packages/cli/test/commands/configuration.test.ts
+++ b/packages/cli/test/commands/configuration.test.ts
@@ -1,4 +1,4 @@
-/** Check, diff, apply, show and history against the key-value service's stand-in. */
+/** Tests of check, diff, apply, show and history against a fake key-value service. */
 import assert from 'node:assert/strict';
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -19,7 +19,10 @@
       - { name: portal-2, failureDomain: eros-hall, sidecar: "10.1.0.2:7000", backend: "10.1.0.2:8000" }
 `;
 const WITHDRAWN = TEXT.replace('10.1.0.2:8000" }', '10.1.0.2:8000", withdrawn: true }');
-const CLOSER = TEXT.replace('kind: plain-service', 'kind: plain-service\n    deadline: 30 s');
+const WITH_DEADLINE = TEXT.replace(
+  'kind: plain-service',
+  'kind: plain-service\n    deadline: 30 s',
+);
 
 describe('the configuration commands', () => {
   let folder: string;
@@ -38,7 +41,7 @@
   });
   afterEach(() => service.stop());
 
-  function file(text: string): string {
+  function writeText(text: string): string {
     const path = join(folder, 'deployment.yaml');
     writeFileSync(path, text);
     return path;
@@ -48,18 +51,18 @@
     text: string,
     ...flags: string[]
   ): Promise<Awaited<ReturnType<typeof runCommand>>> {
-    return runCommand('apply', [file(text), '--json', ...connection, ...flags]);
+    return runCommand('apply', [writeText(text), '--json', ...connection, ...flags]);
   }
 
   describe('check', () => {
     it('accepts a correct text', async () => {
-      const run = await runCommand('check', [file(TEXT), '--json']);
+      const run = await runCommand('check', [writeText(TEXT), '--json']);
       assert.deepEqual(run.json, { correct: true, services: 1, targets: 2, workspaces: 1 });
       assert.equal(run.code, ExitCode.Done);
     });
 
-    it('names file, line and column of every fault', async () => {
-      const path = file(
+    it('reports file, line and column of every fault', async () => {
+      const path = writeText(
         TEXT.replace('kind: plain-service', 'kind: plain').replace('portal-2', 'portal-1'),
       );
       const run = await runCommand('check', [path]);
@@ -68,7 +71,7 @@
       assert.match(run.err, /deployment\.yaml:9:17: /);
     });
 
-    it('says when the file is not there', async () => {
+    it('reports a missing file', async () => {
       const run = await runCommand('check', [join(folder, 'none.yaml')]);
       assert.equal(run.code, ExitCode.BadUsage);
       assert.match(run.err, /ENOENT/);
@@ -76,13 +79,13 @@
   });
 
   describe('apply', () => {
-    it('takes the first text from version 0', async () => {
+    it('accepts the first text with base version 0', async () => {
       const run = await apply(TEXT, '--from-version', '0');
       assert.equal(run.code, ExitCode.Done);
       assert.equal(run.json.version, 1);
     });
 
-    it('wants to know from which version the text was edited', async () => {
+    it('requires the version that the text was edited from', async () => {
       const run = await apply(TEXT);
       assert.equal(run.code, ExitCode.BadUsage);
     });
@@ -93,7 +96,7 @@
       assert.equal((await runCommand('show', connection)).code, ExitCode.BadUsage);
     });
 
-    it('takes the version from what show wrote, and does not store that line', async () => {
+    it('reads the version from the line that show writes, and does not store that line', async () => {
       await apply(TEXT, '--from-version', '0');
       const path = join(folder, 'shown.yaml');
       await runCommand('show', [...connection, '-o', path]);
@@ -104,17 +107,17 @@
       );
       assert.equal(run.json.version, 2);
       const stored = await runCommand('show', ['--json', ...connection]);
-      assert.equal(stored.json.text, CLOSER);
+      assert.equal(stored.json.text, WITH_DEADLINE);
     });
 
     /*
-     * Story: two operators edit version 1 at the same time. One withdraws a target, the other
-     * changes a deadline. If the second were taken, the withdrawn target would silently return.
+     * Two operators edit version 1 at the same time: one withdraws a target, the other changes a
+     * deadline. Accepting the second edit would silently restore the withdrawn target.
      */
-    it('refuses the later of two racing edits and shows both differences', async () => {
+    it('rejects the later of two concurrent edits and shows both differences', async () => {
       await apply(TEXT, '--from-version', '0');
       assert.equal((await apply(WITHDRAWN, '--from-version', '1')).code, ExitCode.Done);
-      const run = await apply(CLOSER, '--from-version', '1');
+      const run = await apply(WITH_DEADLINE, '--from-version', '1');
       assert.equal(run.code, ExitCode.Conflict);
       const error = run.json.error as { name: string; data: Record<string, { change: string }[]> };
       assert.equal(error.name, 'edit-conflict');
@@ -127,25 +130,30 @@
       assert.equal(stored.json.version, 2);
     });
 
-    it('tells the same to a person', async () => {
+    it('prints both differences as text', async () => {
       await apply(TEXT, '--from-version', '0');
       await apply(WITHDRAWN, '--from-version', '1');
-      const run = await runCommand('apply', [file(CLOSER), '--from-version', '1', ...connection]);
+      const run = await runCommand('apply', [
+        writeText(WITH_DEADLINE),
+        '--from-version',
+        '1',
+        ...connection,
+      ]);
       assert.match(run.err, /The others changed:\n.*portal-2 of portal: withdrawn/s);
       assert.match(run.err, /Another edit was accepted first/);
     });
 
     /*
-     * Story: the key-value service accepts the edit, and its answer is lost. An operator who sees
-     * an error sends the edit again; it must neither conflict with itself nor count twice.
+     * The key-value service accepts the edit, but its response is lost. An operator who sees an
+     * error applies the edit again; it must neither conflict with itself nor be applied twice.
      */
-    it('finds its own edit again when the answer was lost', async () => {
+    it('recognizes its own edit after a lost response', async () => {
       service.setFaults({ loseAnswers: 1 });
       const run = await apply(TEXT, '--from-version', '0');
       assert.equal(run.json.version, 1);
     });
 
-    it('gives the same version when it is simply run again', async () => {
+    it('returns the same version when it is run again', async () => {
       await apply(TEXT, '--from-version', '0');
       const again = await apply(TEXT, '--from-version', '0');
       assert.equal(again.json.version, 1);
@@ -155,16 +163,16 @@
   });
 
   describe('diff', () => {
-    it('compares with the version in force', async () => {
+    it('compares with the active version', async () => {
       await apply(TEXT, '--from-version', '0');
-      const run = await runCommand('diff', [file(WITHDRAWN), ...connection]);
+      const run = await runCommand('diff', [writeText(WITHDRAWN), ...connection]);
       assert.match(run.out, /target portal-2 of portal: withdrawn/);
     });
 
-    it('compares two files without any service', async () => {
+    it('compares two files without the key-value service', async () => {
       const other = join(folder, 'other.yaml');
       writeFileSync(other, TEXT);
-      const run = await runCommand('diff', [file(CLOSER), '--against', other]);
+      const run = await runCommand('diff', [writeText(WITH_DEADLINE), '--against', other]);
       assert.equal(run.out, 'service portal: deadline 10 min → 30 s');
     });
   });
@@ -190,7 +198,7 @@
   });
 
   describe('when the service is down', () => {
-    it('says so with its own exit code', async () => {
+    it('exits with a dedicated code', async () => {
       service.setFaults({ down: true });
       const run = await runCommand('show', ['--json', ...connection]);
       assert.equal(run.code, ExitCode.Unreachable);
--- a/packages/cli/test/commands/fleet.test.ts
+++ b/packages/cli/test/commands/fleet.test.ts
@@ -1,4 +1,4 @@
-/** Status, watch and timeline against members that answer as the daemon does. */
+/** Tests of status, watch and timeline against fake members that respond like the daemon. */
 import assert from 'node:assert/strict';
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -15,7 +15,7 @@
 } from '../fixtures/fleet.js';
 import { runCommand } from '../fixtures/run-command.js';
 
-describe('the commands that ask the fleet', () => {
+describe('the commands that query the fleet', () => {
   let folder: string;
   let secretFile: string;
   let first: FakeMember;
@@ -39,7 +39,7 @@
   afterEach(() => Promise.all([first.stop(), second.stop()]));
 
   describe('status', () => {
-    it('asks every member and adds up what entries counted', async () => {
+    it('queries every member and sums the counters of the entries', async () => {
       const run = await runCommand('status', ['--json', ...flags]);
       assert.equal(run.code, ExitCode.Done);
       assert.equal(run.json.processes, 2);
@@ -48,7 +48,7 @@
       assert.equal(service.readyAt, 2);
     });
 
-    it('shows a person the versions that are still about', async () => {
+    it('prints the versions that are still active', async () => {
       second.status = processStatus(second.id, { configurationVersion: 2, doubt: true });
       const run = await runCommand('status', flags);
       assert.match(run.out, /version 2, in force at 1 processes/);
@@ -58,10 +58,10 @@
     });
 
     /*
-     * Story: one member has died and the others have not noticed. A status that silently left it
-     * out would look like a healthy, smaller fleet.
+     * A member has crashed and the others have not detected it yet. A status that silently omits
+     * it would look like a smaller, healthy fleet.
      */
-    it('names who could not be reached, and says so in the exit code', async () => {
+    it('lists unreachable members and reports them in the exit code', async () => {
       await second.stop();
       const run = await runCommand('status', ['--json', ...flags]);
       assert.equal(run.code, ExitCode.Partial);
@@ -76,9 +76,9 @@
     });
 
     /*
-     * Story: the entry that the operator's settings name is down, which is why the operator asks.
+     * The entry in the operator's settings is down, which is a common reason to run the command.
      */
-    it('asks the next entry when the first is down', async () => {
+    it('queries the next entry when the first is down', async () => {
       await second.stop();
       const entries = ['--entry', second.id, '--entry', first.id];
       const run = await runCommand('status', ['--json', ...entries, '--secret-file', secretFile]);
@@ -98,7 +98,7 @@
       assert.match(run.err, /no valid secret/);
     });
 
-    it('takes its connection from a file as well', async () => {
+    it('reads its connection settings from a file', async () => {
       const path = join(folder, 'connection.yaml');
       writeFileSync(path, `entry: "${first.id}"\nsecretFile: ${secretFile}\n`);
       const run = await runCommand('status', ['--json', '--connection', path]);
@@ -125,7 +125,7 @@
       assert.equal(last.rates[0]?.answeredPerS, 0);
     });
 
-    it('shows goodput, mix, roles and the configuration’s spread to a person', async () => {
+    it('prints goodput, mix, roles and configuration versions as text', async () => {
       const run = await runCommand('watch', ['--count', '1', ...flags]);
       assert.match(run.out, /version 1, in force everywhere/);
       assert.match(run.out, /goodput\/s.*mix.*roles/);
@@ -133,7 +133,7 @@
   });
 
   describe('timeline', () => {
-    it('gathers all processes in causal order', async () => {
+    it('merges the events of all processes in causal order', async () => {
       second.timeline = {
         ...second.timeline,
         events: [
@@ -158,7 +158,7 @@
       });
     }
 
-    it('says what it could not reach', async () => {
+    it('reports the processes it could not reach', async () => {
       await second.stop();
       const run = await runCommand('timeline', flags);
       assert.equal(run.code, ExitCode.Partial);
--- a/packages/cli/test/core/fleet/fleet-view.test.ts
+++ b/packages/cli/test/core/fleet/fleet-view.test.ts
@@ -1,4 +1,4 @@
-/** What many statuses say together. */
+/** Tests of the aggregated fleet view, its rates, and watching. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { MemberKind } from '@cassiamast/coordination';
@@ -16,7 +16,7 @@
 }
 
 describe('the view of the fleet', () => {
-  it('believes the freshest report of a target and the highest fence', () => {
+  it('uses the most recent report of a target and the highest fence', () => {
     const [target] = serviceStatus().targets;
     assert.ok(target);
     const stale = { ...target, loadRatio: 0.9, reportAgeMs: 5_000 };
@@ -43,7 +43,7 @@
     assert.equal(view.services[0]?.goodput.answered, 10);
   });
 
-  it('says where a service is not ready, and why', () => {
+  it('reports how many entries see a service as not ready, and why', () => {
     const unready = serviceStatus({ ready: false, reason: 'no target' });
     const view = fleetView([processStatus(A), processStatus(B, { services: [unready] })], [], []);
     assert.deepEqual(
@@ -53,12 +53,12 @@
   });
 
   describe('rates', () => {
-    it('are differences over the time between', () => {
+    it('are counter differences divided by the elapsed time', () => {
       const [rates] = ratesBetween(answeredView(100), answeredView(150), 2_000);
       assert.equal(rates?.answeredPerS, 25);
     });
 
-    it('count from zero when a process has started anew', () => {
+    it('count from zero after a process has restarted', () => {
       const [rates] = ratesBetween(answeredView(100), answeredView(30), 1_000);
       assert.equal(rates?.answeredPerS, 30);
     });
@@ -66,15 +66,15 @@
 
   describe('watching', () => {
     /*
-     * Story: the entry that a live view asks is replaced. One refresh fails, and the operator, who
-     * watches just because things are being replaced, must not lose the view.
+     * The entry that a live view polls is replaced and one refresh fails. Operators use the view
+     * during such replacements, so the failed refresh must not end it.
      */
-    it('goes on when the entry is away for one round', async () => {
+    it('continues when the entry is unavailable for one poll', async () => {
       const refreshes: Refresh[] = [];
       let round = 0;
       let clockMs = 0;
       await watchFleet({
-        ask: <Answer>() => {
+        callMember: <Answer>() => {
           const failure = UNKNOWN_MEMBER_ANSWER.of({ member: A, cause: 'refused' });
           return Promise.resolve(round === 1 ? err(failure) : ok(processStatus(A) as Answer));
         },
--- a/packages/cli/test/core/fleet/gather.test.ts
+++ b/packages/cli/test/core/fleet/gather.test.ts
@@ -1,53 +1,59 @@
-/** Asking many members: bounded, and waiting for an edit to spread. */
+/** Tests of calling all members with bounded concurrency and of waiting for an edit to propagate. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { ok } from 'neverthrow';
 import { gather } from '../../../src/core/fleet/gather.js';
-import { ReadMethod, type AskMember } from '../../../src/core/fleet/member-client.js';
-import { waitForSpread } from '../../../src/core/fleet/spread.js';
+import { ReadMethod, type CallMember } from '../../../src/core/fleet/member-client.js';
+import { waitForPropagation } from '../../../src/core/fleet/spread.js';
 import { memberStatus, processStatus } from '../../fixtures/fleet.js';
 
 const IDS = Array.from({ length: 100 }, (_, index) => `10.0.0.${String(index)}:7000`);
 const ENTRY = '10.0.0.0:7000';
-const MAX_PARALLEL = 16;
+const MAX_CONCURRENT_CALLS = 16;
 
-describe('asking the members', () => {
-  it('asks everyone once and only so many at a time', async () => {
-    const asked: string[] = [];
-    let open = 0;
-    let mostOpen = 0;
-    const ask: AskMember = async <Answer>(member: string, _method: ReadMethod, params: object) => {
+describe('calling the members', () => {
+  it('calls each member once, with bounded concurrency', async () => {
+    const calledMembers: string[] = [];
+    let openCalls = 0;
+    let maxOpenCalls = 0;
+    const callMember: CallMember = async <Answer>(
+      member: string,
+      _method: ReadMethod,
+      params: object,
+    ) => {
       if ('withMembers' in params && params.withMembers === true) {
         return ok({
           ...processStatus(member),
           members: IDS.map((id) => memberStatus(id)),
         } as Answer);
       }
-      open += 1;
-      mostOpen = Math.max(mostOpen, open);
+      openCalls += 1;
+      maxOpenCalls = Math.max(maxOpenCalls, openCalls);
       await Promise.resolve();
-      open -= 1;
-      asked.push(member);
+      openCalls -= 1;
+      calledMembers.push(member);
       return ok(processStatus(member) as Answer);
     };
     const progress: number[] = [];
-    const result = await gather(ask, [ENTRY], ReadMethod.Status, {}, (done) => progress.push(done));
+    const result = await gather(callMember, [ENTRY], ReadMethod.Status, {}, (done) =>
+      progress.push(done),
+    );
     assert.equal(result._unsafeUnwrap().answers.length, IDS.length);
-    assert.deepEqual([...asked].sort(), [...IDS].sort());
-    assert.ok(mostOpen <= MAX_PARALLEL && mostOpen > 1);
+    assert.deepEqual([...calledMembers].sort(), [...IDS].sort());
+    assert.ok(maxOpenCalls <= MAX_CONCURRENT_CALLS && maxOpenCalls > 1);
     assert.equal(progress.at(-1), IDS.length);
   });
 
-  describe('until an edit is in force everywhere', () => {
-    function askAt(versionOf: () => number): AskMember {
+  describe('waiting until an edit is active everywhere', () => {
+    function callMemberAt(versionOf: () => number): CallMember {
       return <Answer>(member: string) =>
         Promise.resolve(ok(processStatus(member, { configurationVersion: versionOf() }) as Answer));
     }
 
     async function wait(versionAt: (clockMs: number) => number) {
       let clockMs = 0;
-      const result = await waitForSpread({
-        ask: askAt(() => versionAt(clockMs)),
+      const result = await waitForPropagation({
+        callMember: callMemberAt(() => versionAt(clockMs)),
         entries: [ENTRY],
         version: 2,
         timeoutMs: 9_000,
@@ -61,13 +67,13 @@
       return { result, clockMs };
     }
 
-    it('ends as soon as everyone has it', async () => {
+    it('ends as soon as every process has the version', async () => {
       const { result, clockMs } = await wait((nowMs) => (nowMs >= 1_000 ? 2 : 1));
       assert.equal(result._unsafeUnwrap(), 1);
       assert.equal(clockMs, 1_000);
     });
 
-    it('names who is behind when the time is up', async () => {
+    it('lists the processes that are behind after the timeout', async () => {
       const { result } = await wait(() => 1);
       const failure = result._unsafeUnwrapErr();
       assert.equal(failure.name, 'not-in-force-everywhere');
