--- a/packages/cli/src/core/fleet/fleet-view.ts
+++ b/packages/cli/src/core/fleet/fleet-view.ts
@@ -98,7 +98,7 @@
     versions.set(version, [...(versions.get(version) ?? []), status]);
   }
   return [...versions]
-    .map(([version, reporting]) => ({ version, processes: idsOf(reporting) }))
+    .map(([version, holders]) => ({ version, processes: idsOf(holders) }))
     .sort((a, b) => b.version - a.version);
 }
 
--- a/packages/cli/src/core/process/command.ts
+++ b/packages/cli/src/core/process/command.ts
@@ -106,7 +106,7 @@
     };
   }
 
-  /** Sets the exit code of a command that prints its output but did not succeed fully. */
+  /** Sets an exit code other than 0 for a command that prints its output but is incomplete. */
   protected endWith(code: ExitCode): void {
     process.exitCode = code;
   }
