--- a/benchmark/src/control/pure.ts
+++ b/benchmark/src/control/pure.ts
@@ -231,7 +231,9 @@
 
   /** Whether the news of the start has been told. */
   newsIsOld(): boolean {
-    return this.fleet.living().every(({ membership: { news } }) => news.repeated.size === 0);
+    return this.fleet
+      .living()
+      .every(({ membership: { updateQueue } }) => updateQueue.repeated.size === 0);
   }
 
   knowsAll(): boolean {
--- a/benchmark/src/control/real/measure.ts
+++ b/benchmark/src/control/real/measure.ts
@@ -13,7 +13,7 @@
 const POLL_MS = 100;
 const GIVE_UP_MS = 60_000;
 const CALL_TIMEOUT_MS = 2_000;
-const NO_CLOCK = { now: () => '', hear: () => undefined };
+const NO_CLOCK = { now: () => '', receiveTimestamp: () => undefined };
 
 /** Median and worst over the processes. */
 export interface Spread {
--- a/benchmark/src/control/virtual-fleet.ts
+++ b/benchmark/src/control/virtual-fleet.ts
@@ -14,7 +14,7 @@
   configFetchFailed,
   configHeadChanged,
   configHeadRead,
-  configHintsHeard,
+  configHintsReceived,
   decodeMembershipMessage,
   encodeMembershipMessage,
   membershipWakeAtMs,
@@ -125,10 +125,10 @@
         case MembershipEffectKind.MemberChanged:
           this.options.onBelief(member, effect.member.id, effect.member.state);
           break;
-        case MembershipEffectKind.HintsHeard: {
+        case MembershipEffectKind.HintsReceived: {
           const context = configContext(member, this.shared);
           const { from, hints, askedAtMs } = effect;
-          const heard = configHintsHeard(member.config, from, hints, askedAtMs, context);
+          const heard = configHintsReceived(member.config, from, hints, askedAtMs, context);
           this.performConfig(member, heard);
           break;
         }
--- a/benchmark/src/policy/decision-cost.ts
+++ b/benchmark/src/policy/decision-cost.ts
@@ -9,10 +9,10 @@
   DEFAULT_ENGINE_PROFILE,
   DEFAULT_ROUTER_OPTIONS,
   EngineRole,
-  noteDispatch,
-  noteEnd,
-  noteLoad,
-  noteTargets,
+  recordDispatch,
+  recordAnswerEnd,
+  applyLoadReport,
+  updateTargets,
   route,
   RouteKind,
   seededRandom,
@@ -111,8 +111,8 @@
     role: (index % 11) / 11 < READER_SHARE ? EngineRole.Prefill : EngineRole.Decode,
     accepting: true,
   }));
-  noteTargets(router, infos);
-  for (const info of infos) noteLoad(router, report(info.name, info.role, 0));
+  updateTargets(router, infos);
+  for (const info of infos) applyLoadReport(router, report(info.name, info.role, 0));
   return router;
 }
 
@@ -140,8 +140,8 @@
     if (request === undefined) continue;
     const decision = route(router, request, turn, random);
     if (decision.kind === RouteKind.None) continue;
-    noteDispatch(router, decision, request, turn);
-    noteEnd(
+    recordDispatch(router, decision, request, turn);
+    recordAnswerEnd(
       router,
       {
         target: decision.writer,
@@ -153,12 +153,12 @@
       turn,
     );
     const used = router.views.get(decision.reader);
-    if (used !== undefined && used.own.length >= DISPATCHES_PER_REPORT) {
-      noteLoad(router, report(used.name, used.role, turn));
+    if (used !== undefined && used.ownDispatches.length >= DISPATCHES_PER_REPORT) {
+      applyLoadReport(router, report(used.name, used.role, turn));
     }
     const writer = router.views.get(decision.writer);
-    if (writer !== undefined && writer.own.length >= DISPATCHES_PER_REPORT) {
-      noteLoad(router, report(writer.name, writer.role, turn));
+    if (writer !== undefined && writer.ownDispatches.length >= DISPATCHES_PER_REPORT) {
+      applyLoadReport(router, report(writer.name, writer.role, turn));
     }
   }
 }
--- a/benchmark/src/policy/fleet.ts
+++ b/benchmark/src/policy/fleet.ts
@@ -7,16 +7,16 @@
   DEFAULT_ENGINE_PROFILE,
   DEFAULT_ROUTER_OPTIONS,
   EngineRole,
-  noteCacheEvent,
-  noteLoad,
-  noteTargets,
+  recordCacheEvent,
+  applyLoadReport,
+  updateTargets,
   seededRandom,
   takeDemandReport,
   wantsReports,
 } from '@cassiamast/coordination';
 import { CacheChange } from '@cassiamast/coordination';
 import type {
-  CacheNews,
+  CacheEvent,
   DemandReport,
   Hash32,
   LoadReport,
@@ -156,7 +156,7 @@
 /** Tells all entries at once which targets there are; membership takes a few seconds at most. */
 export function announceTargets(fleet: Fleet): void {
   const infos = targetInfos(fleet);
-  for (const entry of fleet.entries) noteTargets(entry.router, infos);
+  for (const entry of fleet.entries) updateTargets(entry.router, infos);
 }
 
 /** Time in which a change of a target's state reaches the entries, apart from load reports. */
@@ -167,7 +167,7 @@
   const report = readLoad(engine);
   fleet.plannerReports.set(engine.name, report);
   schedule(fleet.clock, fleet.clock.nowMs + GOSSIP_MS, () => {
-    for (const entry of fleet.entries) noteLoad(entry.router, report);
+    for (const entry of fleet.entries) applyLoadReport(entry.router, report);
     afterNews();
   });
 }
@@ -203,15 +203,15 @@
     fleet.plannerReports.set(engine.name, report);
     for (const entry of fleet.entries) {
       if (!wantsReports(entry.router, engine.name, fleet.clock.nowMs)) continue;
-      noteLoad(entry.router, report);
-      if (!lost) for (const item of news) noteCacheEvent(entry.router, engine.name, item);
+      applyLoadReport(entry.router, report);
+      if (!lost) for (const item of news) recordCacheEvent(entry.router, engine.name, item);
       onNews(entry);
     }
   });
 }
 
-function takeCacheNews(fleet: Fleet, engine: FakeEngine, index: number): readonly CacheNews[] {
-  const news: CacheNews[] = [];
+function takeCacheNews(fleet: Fleet, engine: FakeEngine, index: number): readonly CacheEvent[] {
+  const news: CacheEvent[] = [];
   const epoch = String(engine.epoch);
   const next = (): number => {
     const sequence = (fleet.cacheSequences[index] ?? -1) + 1;
--- a/benchmark/src/policy/policies.ts
+++ b/benchmark/src/policy/policies.ts
@@ -16,7 +16,7 @@
   RouteDecision,
   RouteRequest,
   StartRule,
-  WantedOrder,
+  RoleOrder,
 } from '@cassiamast/coordination';
 import type { ChooseRoute, Entry, PlanRoles, Policy } from './policy.js';
 import { FIRST_TOKEN_GOAL_MS, INTER_TOKEN_GOAL_MS } from './statistics.js';
@@ -84,11 +84,11 @@
 /** Chooses a reader and a writer with the same plain rule. */
 function plainRoute(pick: (entry: Entry, names: readonly string[]) => string): ChooseRoute {
   return (entry, request) => {
-    const { readers, writers } = entry.router;
-    if (writers.length === 0) return { kind: RouteKind.None };
-    const writer = pick(entry, namesOf(writers, request));
-    if (readers.length === 0) return plainPlan(writer, writer, request);
-    return plainPlan(pick(entry, namesOf(readers, request)), writer, request);
+    const { prefillTargets, decodeTargets } = entry.router;
+    if (decodeTargets.length === 0) return { kind: RouteKind.None };
+    const writer = pick(entry, namesOf(decodeTargets, request));
+    if (prefillTargets.length === 0) return plainPlan(writer, writer, request);
+    return plainPlan(pick(entry, namesOf(prefillTargets, request)), writer, request);
   };
 }
 
@@ -157,7 +157,7 @@
   };
 }
 
-function greedyOrder(view: PlannerView): WantedOrder | null {
+function greedyOrder(view: PlannerView): RoleOrder | null {
   const serving = view.targets.filter((target) => target.accepting && target.report !== null);
   const readers = serving.filter((target) => target.role === EngineRole.Prefill);
   const writers = serving.filter((target) => target.role !== EngineRole.Prefill);
--- a/benchmark/src/policy/policy.ts
+++ b/benchmark/src/policy/policy.ts
@@ -9,7 +9,7 @@
   Router,
   RouterOptions,
   StartRule,
-  WantedOrder,
+  RoleOrder,
 } from '@cassiamast/coordination';
 import type { LiveRequest } from './live-request.js';
 
@@ -29,7 +29,7 @@
 export type ChooseRoute = (entry: Entry, request: RouteRequest, nowMs: number) => RouteDecision;
 
 /** Chooses which roles to change. */
-export type PlanRoles = (view: PlannerView, nowMs: number) => readonly WantedOrder[];
+export type PlanRoles = (view: PlannerView, nowMs: number) => readonly RoleOrder[];
 
 /** A policy under comparison. */
 export interface Policy {
--- a/benchmark/src/policy/request-flow.ts
+++ b/benchmark/src/policy/request-flow.ts
@@ -4,20 +4,20 @@
  */
 import {
   expectedOutputTokens,
-  excludedNone,
+  noExcludedTargets,
   isBorrowing,
   mayStart,
-  noteArrival,
-  noteDispatch,
-  noteEnd,
-  noteMove,
-  noteLoad,
+  recordArrival,
+  recordDispatch,
+  recordAnswerEnd,
+  recordMigration,
+  applyLoadReport,
   offer,
   pump,
   PumpResult,
   requestCostTokens,
-  sidecarTakes,
-  takeBack,
+  sidecarAccepts,
+  requeueRefused,
   RouteKind,
   transferMs,
 } from '@cassiamast/coordination';
@@ -77,7 +77,7 @@
     weight: 1,
     maxTokensPerS: null,
     costTokens: requestCostTokens(trace.promptTokens, expectedLength(entry, request)),
-    patienceMs: fleet.policy.patienceMs - waitedMs,
+    maxWaitMs: fleet.policy.patienceMs - waitedMs,
     item: request,
   };
 }
@@ -90,9 +90,9 @@
 function meterArrival(fleet: Fleet, entry: Entry, request: LiveRequest): void {
   const { trace } = request;
   const before = { prefillMs: entry.meter.prefillMs, decodeMs: entry.meter.decodeMs };
-  noteArrival(entry.meter, {
+  recordArrival(entry.meter, {
     promptTokens: trace.promptTokens,
-    prefillTokens: trace.promptTokens * entry.router.unreadShare,
+    prefillTokens: trace.promptTokens * entry.router.uncachedShare,
     expectedOutputTokens: expectedLength(entry, request),
   });
   const point = fleet.statistics.timeline[Math.floor(trace.atMs / POINT_MS)];
@@ -142,7 +142,7 @@
   const waitedMs = nowMs - request.trace.atMs;
   if (!force && rule !== null && !mayStart(rule, decision, waitedMs, borrows(entry, request)))
     return false;
-  noteDispatch(entry.router, decision, asked, nowMs);
+  recordDispatch(entry.router, decision, asked, nowMs);
   schedule(fleet.clock, nowMs + HOP_MS, () => {
     read(fleet, entry, request, decision);
   });
@@ -163,14 +163,14 @@
 /** The sidecar refuses, truly not run; its load comes with the refusal. */
 function refuse(fleet: Fleet, entry: Entry, request: LiveRequest, engine: FakeEngine): void {
   schedule(fleet.clock, fleet.clock.nowMs + HOP_MS, () => {
-    noteLoad(entry.router, readLoad(engine));
+    applyLoadReport(entry.router, readLoad(engine));
     const { place } = request;
     if (place === null || !Number.isNaN(request.firstTokenMs)) {
       request.excluded.add(engine.name);
       send(fleet, entry, request, true);
       return;
     }
-    if (takeBack(entry.admission, place) === null) pumpEntry(fleet, entry);
+    if (requeueRefused(entry.admission, place) === null) pumpEntry(fleet, entry);
     else countRefusal(fleet.statistics, request);
   });
 }
@@ -182,7 +182,7 @@
   if (rule === null || !Number.isNaN(request.firstTokenMs)) return false;
   const budgetMs = rule.firstTokenGoalMs - (fleet.clock.nowMs - request.trace.atMs) - HOP_MS;
   const aheadMs = queueAheadMs(engine);
-  return !sidecarTakes({ aheadMs }, readTimeMs(engine, request), budgetMs);
+  return !sidecarAccepts({ aheadMs }, readTimeMs(engine, request), budgetMs);
 }
 
 function read(fleet: Fleet, entry: Entry, request: LiveRequest, plan: RoutePlan): void {
@@ -215,7 +215,7 @@
 function sendLoadWithAnswer(fleet: Fleet, entry: Entry, engine: FakeEngine): void {
   const report = readLoad(engine);
   schedule(fleet.clock, fleet.clock.nowMs + fleet.trace.answerLoadLagMs, () => {
-    noteLoad(entry.router, report);
+    applyLoadReport(entry.router, report);
   });
 }
 
@@ -240,7 +240,7 @@
       request.slowGaps += slowGaps;
       request.contextTokens = job.contextTokens;
       request.leftTokens = job.leftTokens;
-      noteEnd(entry.router, endOf(request, target, false), fleet.clock.nowMs);
+      recordAnswerEnd(entry.router, endOf(request, target, false), fleet.clock.nowMs);
       moveOn(fleet, entry, request);
     },
     onLost: (job, slowGaps) => {
@@ -285,8 +285,8 @@
   request: LiveRequest,
   refused: FakeEngine,
 ): FakeEngine {
-  noteLoad(entry.router, readLoad(refused));
-  const asked = { ...routeRequest(request), excluded: excludedNone };
+  applyLoadReport(entry.router, readLoad(refused));
+  const asked = { ...routeRequest(request), excluded: noExcludedTargets };
   const decision = fleet.policy.chooseRoute(entry, asked, fleet.clock.nowMs);
   if (decision.kind === RouteKind.None) return refused;
   return fleet.byName.get(decision.writer) ?? refused;
@@ -301,14 +301,14 @@
     return;
   }
   const { writer } = decision;
-  noteMove(entry.router, writer, asked, decision.expectedOutputTokens, fleet.clock.nowMs);
+  recordMigration(entry.router, writer, asked, decision.expectedOutputTokens, fleet.clock.nowMs);
   handOver(fleet, entry, request, writer);
 }
 
 function lose(fleet: Fleet, entry: Entry, request: LiveRequest, target: string): void {
   fleet.statistics.restarts += 1;
   request.slowGaps += 1;
-  noteEnd(entry.router, endOf(request, target, false), fleet.clock.nowMs);
+  recordAnswerEnd(entry.router, endOf(request, target, false), fleet.clock.nowMs);
   const engine = fleet.byName.get(target);
   const crashed = engine?.alive === false;
   if (crashed) request.excluded.add(target);
@@ -321,7 +321,7 @@
   request: LiveRequest,
   target: string,
   whole: boolean,
-): Parameters<typeof noteEnd>[1] {
+): Parameters<typeof recordAnswerEnd>[1] {
   const { promptTokens, outputTokens } = request.trace;
   return { target, workspace: request.trace.workspace, promptTokens, outputTokens, whole };
 }
@@ -337,6 +337,6 @@
   request.ended = true;
   request.leftTokens = job?.leftTokens ?? 0;
   countAnswer(fleet.statistics, request, fleet.clock.nowMs);
-  noteEnd(entry.router, endOf(request, target, true), fleet.clock.nowMs);
+  recordAnswerEnd(entry.router, endOf(request, target, true), fleet.clock.nowMs);
   pumpEntry(fleet, entry);
 }
--- a/benchmark/src/scheduling/play.ts
+++ b/benchmark/src/scheduling/play.ts
@@ -4,7 +4,7 @@
  * deciding took of the processor.
  */
 import {
-  AskedWork,
+  RequestedWork,
   type Decision,
   DecisionKind,
   EnginePhase,
@@ -19,9 +19,9 @@
   type TargetEntry,
   createRateLimiter,
   createScheduler,
-  noteEngines,
-  noteJobEvents,
-  noteLimitNamed,
+  syncEngines,
+  handleJobEvents,
+  recordLimit,
   permitsOf,
   seededRandom,
   submitJob,
@@ -116,7 +116,7 @@
   );
   const scheduler = createScheduler(schedulerOptions, permits);
   const engines = makeEngines(options.engines);
-  noteEngines(scheduler, engines, ENGINE_SPEC);
+  syncEngines(scheduler, engines, ENGINE_SPEC);
   const play: Play = {
     scheduler,
     limiter,
@@ -168,11 +168,11 @@
     for (let atMs = 0; atMs < durationMs; atMs += MS_PER_S) {
       play.queue.at(atMs, () => {
         const answer = {
-          work: AskedWork.Run,
+          work: RequestedWork.Run,
           sentAtMs: atMs,
           origin: `${engine.id}/${String(atMs)}`,
         };
-        noteLimitNamed(play.limiter.limits, engine, perS, answer, atMs);
+        recordLimit(play.limiter.limits, engine, perS, answer, atMs);
       });
     }
   }
@@ -217,7 +217,7 @@
 function submit(play: Play, job: Job): void {
   play.jobs.set(job.id, job);
   decide(play, () => submitJob(play.scheduler, job, play.queue.nowMs));
-  play.mostWaiting = Math.max(play.mostWaiting, play.scheduler.waiting.size);
+  play.mostWaiting = Math.max(play.mostWaiting, play.scheduler.queuedJobs.size);
 }
 
 function decide(play: Play, make: () => readonly Decision[]): void {
@@ -284,5 +284,5 @@
 
 function report(play: Play, job: Job, kind: JobEventKind, target: string): void {
   const events = [{ kind, jobId: job.id, target }];
-  decide(play, () => noteJobEvents(play.scheduler, events, play.queue.nowMs));
+  decide(play, () => handleJobEvents(play.scheduler, events, play.queue.nowMs));
 }
--- a/benchmark/test/scheduling/play.test.ts
+++ b/benchmark/test/scheduling/play.test.ts
@@ -39,7 +39,7 @@
     // Each pair of a gateway and an engine meets once in ten seconds, and its connection is closed
     // in between: callers wait for a new one with nearly every request, and engines spend time on it.
     it('opens a fifth fewer connections, and serves as many in time', () => {
-      const anywhere = { ...SCHEDULER_OPTIONS, connectMs: 0, connectedAdvantage: 0 };
+      const anywhere = { ...SCHEDULER_OPTIONS, connectMs: 0, connectedBonusRequests: 0 };
       const before = playScheduling(load, anywhere);
       const now = playScheduling(load);
       assert.ok(now.connections < before.connections * 0.8);
--- a/examples/src/embedding/two-workers.ts
+++ b/examples/src/embedding/two-workers.ts
@@ -17,7 +17,7 @@
   ttlMs: 1_000,
   renewIntervalMs: 200,
   safetyMs: 200,
-  waitOutMs: 100,
+  takeoverDelayMs: 100,
   retryMs: 100,
 };
 
--- a/packages/coordination/src/core/admission/admission.ts
+++ b/packages/coordination/src/core/admission/admission.ts
@@ -21,7 +21,7 @@
   removeWhere,
   dequeueFirstSent,
 } from './fair-queue.js';
-import type { FairQueue, Waiting } from './fair-queue.js';
+import type { FairQueue, QueuedRequest } from './fair-queue.js';
 import { createWorkspaceLimits, takeTokens } from './limits.js';
 import type { WorkspaceLimits } from './limits.js';
 
@@ -47,7 +47,7 @@
   /** Cost of prompt and output in prompt tokens; see {@link requestCostTokens}. */
   readonly costTokens: number;
   /** Maximum time that the request may wait in the queue, in milliseconds. */
-  readonly patienceMs: number;
+  readonly maxWaitMs: number;
   readonly item: T;
 }
 
@@ -110,12 +110,12 @@
   );
   if (limitWaitMs > 0) return WORKSPACE_LIMIT.of(refusalData(limitWaitMs));
   const waitMs = predictedWaitMs(admission, request);
-  if (waitMs > request.patienceMs) return WAIT_TOO_LONG.of(refusalData(waitMs));
+  if (waitMs > request.maxWaitMs) return WAIT_TOO_LONG.of(refusalData(waitMs));
   const refusal = enqueue(admission.queue, {
     workspace: request.workspace,
     weight: request.weight,
     costTokens: request.costTokens,
-    expiresAtMs: nowMs + request.patienceMs,
+    expiresAtMs: nowMs + request.maxWaitMs,
     item: request.item,
   });
   if (refusal === QueueRefusal.Full) return QUEUE_FULL.of(refusalData(backlogMs(admission)));
@@ -127,9 +127,9 @@
  * Puts a request back at its position in the queue after a target rejected it without running it.
  * Returns a failure if the queue is full.
  */
-export function takeBack<T>(
+export function requeueRefused<T>(
   admission: Admission<T>,
-  waiting: Waiting<T>,
+  waiting: QueuedRequest<T>,
 ): Failure<string, RefusalData> | null {
   if (requeue(admission.queue, waiting)) return null;
   return QUEUE_FULL.of({
@@ -188,7 +188,7 @@
 export function pump<T>(
   admission: Admission<T>,
   nowMs: number,
-  trySend: (item: T, waiting: Waiting<T>) => PumpResult,
+  trySend: (item: T, waiting: QueuedRequest<T>) => PumpResult,
 ): readonly Expired<T>[] {
   const wasContended = admission.queue.heap.length > 0;
   let sentTokens = 0;
--- a/packages/coordination/src/core/admission/fair-queue.ts
+++ b/packages/coordination/src/core/admission/fair-queue.ts
@@ -9,7 +9,7 @@
 import { heapPop, heapPush } from './tag-heap.js';
 
 /** A queued request. */
-export interface Waiting<T> {
+export interface QueuedRequest<T> {
   readonly workspace: string;
   readonly costTokens: number;
   /** Time after which the request is no longer useful. */
@@ -32,7 +32,7 @@
   readonly maxWaitingPerWorkspace: number;
   readonly flows: Map<string, Flow>;
   /** All queued requests; tags increase within a workspace, so one heap preserves their order. */
-  heap: Waiting<T>[];
+  heap: QueuedRequest<T>[];
   virtualTime: number;
   queuedTokens: number;
   nextOrder: number;
@@ -61,7 +61,7 @@
 }
 
 /** A request to be queued. */
-export type EnqueueRequest<T> = Omit<Waiting<T>, 'startTag' | 'order'> & {
+export type EnqueueRequest<T> = Omit<QueuedRequest<T>, 'startTag' | 'order'> & {
   /** Weight of the workspace relative to others. */
   readonly weight: number;
 };
@@ -95,12 +95,12 @@
 const FAIR_SHARE_REQUESTS = 2;
 
 /** Returns whether a request is well beyond its workspace's fair share; a chance pair is not. */
-export function isBorrowing<T>(queue: FairQueue<T>, waiting: Waiting<T>): boolean {
+export function isBorrowing<T>(queue: FairQueue<T>, waiting: QueuedRequest<T>): boolean {
   return waiting.startTag > queue.virtualTime + waiting.costTokens * FAIR_SHARE_REQUESTS;
 }
 
 /** Puts a dequeued request back at its position. Returns false if the queue is full. */
-export function requeue<T>(queue: FairQueue<T>, waiting: Waiting<T>): boolean {
+export function requeue<T>(queue: FairQueue<T>, waiting: QueuedRequest<T>): boolean {
   if (queue.heap.length >= queue.maxWaiting) return false;
   const flow = flowOf(queue, waiting.workspace);
   flow.waiting += 1;
@@ -112,12 +112,12 @@
 }
 
 /** Returns the next request without removing it. */
-export function peekNext<T>(queue: FairQueue<T>): Waiting<T> | undefined {
+export function peekNext<T>(queue: FairQueue<T>): QueuedRequest<T> | undefined {
   return queue.heap[0];
 }
 
 /** Removes and returns the next request and advances the virtual time to its start tag. */
-export function dequeue<T>(queue: FairQueue<T>): Waiting<T> | undefined {
+export function dequeue<T>(queue: FairQueue<T>): QueuedRequest<T> | undefined {
   const next = heapPop(queue.heap);
   if (next === undefined) return undefined;
   advanceVirtualTime(queue, next);
@@ -131,10 +131,10 @@
 export function dequeueFirstSent<T>(
   queue: FairQueue<T>,
   depth: number,
-  trySend: (waiting: Waiting<T>) => boolean,
-): Waiting<T> | undefined {
-  const skipped: Waiting<T>[] = [];
-  let sent: Waiting<T> | undefined;
+  trySend: (waiting: QueuedRequest<T>) => boolean,
+): QueuedRequest<T> | undefined {
+  const skipped: QueuedRequest<T>[] = [];
+  let sent: QueuedRequest<T> | undefined;
   while (sent === undefined && skipped.length < depth) {
     const next = heapPop(queue.heap);
     if (next === undefined) break;
@@ -146,7 +146,7 @@
   return sent;
 }
 
-function advanceVirtualTime<T>(queue: FairQueue<T>, waiting: Waiting<T>): void {
+function advanceVirtualTime<T>(queue: FairQueue<T>, waiting: QueuedRequest<T>): void {
   queue.virtualTime = Math.max(queue.virtualTime, waiting.startTag);
   updateAfterRemoval(queue, waiting);
 }
@@ -154,8 +154,8 @@
 /** Removes and returns all requests that match. Costs O(n log n) if any match, O(n) otherwise. */
 export function removeWhere<T>(
   queue: FairQueue<T>,
-  shouldRemove: (waiting: Waiting<T>) => boolean,
-): readonly Waiting<T>[] {
+  shouldRemove: (waiting: QueuedRequest<T>) => boolean,
+): readonly QueuedRequest<T>[] {
   const removed = queue.heap.filter(shouldRemove);
   if (removed.length === 0) return removed;
   const remaining = queue.heap.filter((waiting) => !shouldRemove(waiting));
@@ -165,7 +165,7 @@
   return removed;
 }
 
-function updateAfterRemoval<T>(queue: FairQueue<T>, waiting: Waiting<T>): void {
+function updateAfterRemoval<T>(queue: FairQueue<T>, waiting: QueuedRequest<T>): void {
   queue.queuedTokens -= waiting.costTokens;
   // An empty queue has no contention, so the fairness state can be discarded.
   if (queue.heap.length === 0) {
--- a/packages/coordination/src/core/admission/start-rule.ts
+++ b/packages/coordination/src/core/admission/start-rule.ts
@@ -62,6 +62,6 @@
  * exact queue, two entries could fill a queue that has room for one request. A rejected request has
  * not run.
  */
-export function sidecarTakes(queue: LocalQueue, prefillMs: number, budgetMs: number): boolean {
+export function sidecarAccepts(queue: LocalQueue, prefillMs: number, budgetMs: number): boolean {
   return queue.aheadMs + prefillMs <= Math.max(budgetMs, prefillMs * LONG_PREFILL_SLACK);
 }
--- a/packages/coordination/src/core/authority/gate-state.ts
+++ b/packages/coordination/src/core/authority/gate-state.ts
@@ -35,17 +35,17 @@
 /** Switches for the safety rules of the gate. The fuzzer turns off one at a time. */
 export interface GateGuards {
   /** Whether no ticket is issued before the fencing token and an idle engine were seen. */
-  readonly learnsFirst: boolean;
+  readonly readsFenceAfterStart: boolean;
   /** Whether an order needs a valid, unused ticket. */
   readonly ticketIsChecked: boolean;
   /** Whether an order is sent only if the lease key still names its planner. */
   readonly leaseIsReadBack: boolean;
-  /** Whether a lease read older than `checkToActMs` is repeated. */
-  readonly rereadsAfterPause: boolean;
+  /** Whether a lease read older than `maxLeaseReadAgeMs` is repeated. */
+  readonly repeatsStaleRead: boolean;
   /** Whether an order is rejected while another one is running. */
   readonly oneAtATime: boolean;
   /** Whether the engine's state is read after a lost answer, instead of sending the order again. */
-  readonly readsBack: boolean;
+  readonly readsEngineState: boolean;
 }
 
 /** Options of a gate. */
@@ -53,7 +53,7 @@
   /** Lifetime of a ticket on the gate's clock: covers a round trip and a slow key-value read. */
   readonly ticketValidMs: number;
   /** Maximum age of a lease read on which an order is sent. */
-  readonly checkToActMs: number;
+  readonly maxLeaseReadAgeMs: number;
   /**
    * An engine starts an order within this time after it was written to the connection, or never.
    * The successor of a killed sidecar waits this long before it reads the engine's state.
@@ -67,18 +67,18 @@
 
 /** The default switches: every safety rule is on. */
 export const GATE_GUARDS: GateGuards = {
-  learnsFirst: true,
+  readsFenceAfterStart: true,
   ticketIsChecked: true,
   leaseIsReadBack: true,
-  rereadsAfterPause: true,
+  repeatsStaleRead: true,
   oneAtATime: true,
-  readsBack: true,
+  readsEngineState: true,
 };
 
 /** The default options; see docs/design/authority.md. */
 export const GATE_OPTIONS: GateOptions = {
   ticketValidMs: 5_000,
-  checkToActMs: 1_000,
+  maxLeaseReadAgeMs: 1_000,
   orderPickupMs: 5_000,
   readBackIntervalMs: 500,
   engineAnswerTimeoutMs: 10_000,
--- a/packages/coordination/src/core/authority/lease-holder.ts
+++ b/packages/coordination/src/core/authority/lease-holder.ts
@@ -47,9 +47,9 @@
 /** Switches for the safety rules of the lease. The fuzzer turns off one at a time. */
 export interface LeaseGuards {
   /** Whether the holder stops on its own clock before the lease can expire. */
-  readonly fencesItself: boolean;
+  readonly stopsBeforeExpiry: boolean;
   /** Whether a new holder waits until the tickets of its predecessor have expired. */
-  readonly waitsOut: boolean;
+  readonly waitsForOldTickets: boolean;
 }
 
 /** Options of the lease. */
@@ -62,7 +62,7 @@
    */
   readonly safetyMs: number;
   /** Delay of the first order after a takeover: lifetime of a ticket plus sending of its order. */
-  readonly waitOutMs: number;
+  readonly takeoverDelayMs: number;
   /** Interval at which a candidate reads the key. */
   readonly retryMs: number;
   readonly guards: LeaseGuards;
@@ -73,9 +73,9 @@
   ttlMs: 10_000,
   renewIntervalMs: 3_000,
   safetyMs: 2_000,
-  waitOutMs: 6_000,
+  takeoverDelayMs: 6_000,
   retryMs: 2_000,
-  guards: { fencesItself: true, waitsOut: true },
+  guards: { stopsBeforeExpiry: true, waitsForOldTickets: true },
 };
 
 /** The inputs of each step of the lease state machine. */
@@ -144,12 +144,12 @@
  */
 export function holdsAuthority(state: LeaseState, nowMs: number): boolean {
   if (state.phase !== LeasePhase.Held) return false;
-  return !state.options.guards.fencesItself || nowMs < state.validUntilMs;
+  return !state.options.guards.stopsBeforeExpiry || nowMs < state.validUntilMs;
 }
 
 /** Returns whether an order may be issued: the lease is held and earlier tickets have expired. */
 export function mayOrder(state: LeaseState, nowMs: number): boolean {
-  const waited = !state.options.guards.waitsOut || nowMs >= state.firstOrderAtMs;
+  const waited = !state.options.guards.waitsForOldTickets || nowMs >= state.firstOrderAtMs;
   return waited && holdsAuthority(state, nowMs);
 }
 
@@ -176,12 +176,12 @@
 
 function gainLease(state: LeaseState, fence: number, context: LeaseContext): LeaseEffect[] {
   // Creating the key took so long that its lease may have expired in the meantime.
-  if (context.nowMs >= state.validUntilMs && state.options.guards.fencesItself) {
+  if (context.nowMs >= state.validUntilMs && state.options.guards.stopsBeforeExpiry) {
     return abandonAttempt(state, context);
   }
   state.phase = LeasePhase.Held;
   state.fence = fence;
-  state.firstOrderAtMs = context.nowMs + state.options.waitOutMs;
+  state.firstOrderAtMs = context.nowMs + state.options.takeoverDelayMs;
   state.renewAtMs = context.nowMs + state.options.renewIntervalMs;
   return [{ kind: LeaseEffectKind.Gained, fence }];
 }
--- a/packages/coordination/src/core/authority/order-gate.ts
+++ b/packages/coordination/src/core/authority/order-gate.ts
@@ -57,7 +57,7 @@
   const { running, options } = state;
   if (running === null) return [];
   if (running.phase === GatePhase.Verifying) {
-    if (context.nowMs < running.expiresAtMs + options.checkToActMs) return [];
+    if (context.nowMs < running.expiresAtMs + options.maxLeaseReadAgeMs) return [];
     return rejectOrder(
       state,
       running,
@@ -101,7 +101,7 @@
   request: TicketRequest,
   context: GateContext,
 ): Result<Ticket, Failure> {
-  if (!state.learned && state.options.guards.learnsFirst) {
+  if (!state.learned && state.options.guards.readsFenceAfterStart) {
     return err(authorityNotLearned.of({ target: state.target }));
   }
   const { running, options, highestFence } = state;
@@ -134,7 +134,7 @@
   submission: OrderSubmission,
   context: GateContext,
 ): Result<GateEffect[], Failure> {
-  const { guards, checkToActMs } = state.options;
+  const { guards, maxLeaseReadAgeMs } = state.options;
   const { ticketId, planner, order } = submission;
   if (guards.ticketIsChecked && !isTicketValid(state, submission, context.nowMs)) {
     return err(ticketInvalid.of({ ticketId }));
@@ -144,7 +144,7 @@
   }
   const { highestFence } = state;
   if (order.fence < highestFence) return err(fenceTooOld.of({ fence: order.fence, highestFence }));
-  const expiresAtMs = state.ticket?.expiresAtMs ?? context.nowMs + checkToActMs;
+  const expiresAtMs = state.ticket?.expiresAtMs ?? context.nowMs + maxLeaseReadAgeMs;
   state.ticket = null;
   const read = readLease(state);
   state.running = {
@@ -211,7 +211,7 @@
   context: GateContext,
 ): GateEffect[] {
   const { order, planner } = running;
-  const { guards, checkToActMs } = state.options;
+  const { guards, maxLeaseReadAgeMs } = state.options;
   const isHolder = lease?.planner === planner && lease.fence === order.fence;
   if (guards.leaseIsReadBack && !isHolder) {
     return rejectOrder(state, running, authorityLost.of({ planner, fence: order.fence }));
@@ -220,7 +220,7 @@
     return rejectOrder(state, running, ticketInvalid.of({ ticketId: order.orderId }));
   }
   const readAgeMs = context.nowMs - running.leaseReadSentAtMs;
-  if (guards.rereadsAfterPause && readAgeMs > checkToActMs) {
+  if (guards.repeatsStaleRead && readAgeMs > maxLeaseReadAgeMs) {
     const read = readLease(state);
     running.leaseReadId = read.readId;
     running.leaseReadSentAtMs = context.nowMs;
@@ -258,7 +258,7 @@
 ): GateEffect[] {
   const { running } = state;
   if (running?.order.orderId !== orderId || running.phase === GatePhase.Verifying) return [];
-  if (!state.options.guards.readsBack) {
+  if (!state.options.guards.readsEngineState) {
     return [{ kind: GateEffectKind.SendOrder, order: running.order }];
   }
   running.phase = GatePhase.ReadingBack;
--- a/packages/coordination/src/core/authority/order-giver.ts
+++ b/packages/coordination/src/core/authority/order-giver.ts
@@ -62,7 +62,7 @@
 const TICKET_TIMEOUT_MS = 3_000;
 
 /** Starts an order with the current fencing token of the planner. */
-export function giveOrder(
+export function startOrder(
   orderId: string,
   fence: number,
   body: OrderBody,
--- a/packages/coordination/src/core/claims/aggregator.ts
+++ b/packages/coordination/src/core/claims/aggregator.ts
@@ -76,7 +76,7 @@
 
 /** Kinds of events that the aggregator handles. */
 export enum AggregatorEventKind {
-  Asked = 'asked',
+  Requested = 'asked',
   TimerFired = 'timer-fired',
   LeaseGranted = 'lease-granted',
   LeaseFailed = 'lease-failed',
@@ -88,7 +88,7 @@
 /** An event that the aggregator handles. */
 export type AggregatorEvent =
   | {
-      readonly kind: AggregatorEventKind.Asked;
+      readonly kind: AggregatorEventKind.Requested;
       readonly callId: string;
       readonly request: ClaimRequest;
     }
@@ -159,7 +159,7 @@
 ): readonly AggregatorEffect[] {
   const turn: Turn = { state, context, out: [] };
   switch (event.kind) {
-    case AggregatorEventKind.Asked:
+    case AggregatorEventKind.Requested:
       enqueueClaim(turn, event.callId, event.request);
       break;
     case AggregatorEventKind.TimerFired:
--- a/packages/coordination/src/core/claims/client.ts
+++ b/packages/coordination/src/core/claims/client.ts
@@ -59,7 +59,7 @@
 }
 
 /** Requests a claim. `callId` must be unique within this process. */
-export function askClaim(
+export function requestClaim(
   state: ClaimClientState,
   callId: string,
   request: ClaimRequest,
--- a/packages/coordination/src/core/config/cut-off.ts
+++ b/packages/coordination/src/core/config/cut-off.ts
@@ -36,7 +36,7 @@
   if (state.inForce === null || context.nowMs - state.startedAtMs < STARTUP_SETTLE_MS) return false;
   // When a process is cut off, its membership view lags behind, but its own probes fail at once.
   const ratio = Math.min(seenRatio(state.inForce.compiled, context), context.answeredRatio());
-  return state.options.guards.maySeeEnough(ratio);
+  return state.options.guards.mayAcceptWork(ratio);
 }
 
 /** Updates whether new work is allowed and reports a change. */
--- a/packages/coordination/src/core/config/keeper.ts
+++ b/packages/coordination/src/core/config/keeper.ts
@@ -25,7 +25,7 @@
 
 function backOffMs(state: ConfigState, failures: number, context: ConfigContext): number {
   const { backOffMs: firstMs, maxBackOffMs: mostMs } = state.options;
-  return waitAfterFailuresMs(failures + 1, { firstMs, mostMs }, context.random);
+  return waitAfterFailuresMs(failures + 1, { initialMs: firstMs, maxMs: mostMs }, context.random);
 }
 
 /**
@@ -96,7 +96,7 @@
  * age counts only in the answer to this member's own request. It is counted from the time when the
  * request was sent, which is before the answer was written.
  */
-export function configHintsHeard(
+export function configHintsReceived(
   state: ConfigState,
   from: string,
   hints: readonly number[],
@@ -105,8 +105,8 @@
 ): ConfigEffect[] {
   const [version = 0, ageMs = UNKNOWN_AGE] = hints;
   recordHolder(state, version, from);
-  const { freshnessNeedsOwnQuestion } = state.options.guards;
-  const sinceMs = requestedAtMs ?? (freshnessNeedsOwnQuestion ? null : context.nowMs);
+  const { freshnessNeedsOwnRequest } = state.options.guards;
+  const sinceMs = requestedAtMs ?? (freshnessNeedsOwnRequest ? null : context.nowMs);
   if (sinceMs !== null && version > 0 && ageMs >= 0)
     recordFreshness(state, version, sinceMs - ageMs);
   return continueFetching(state, context);
--- a/packages/coordination/src/core/config/options.ts
+++ b/packages/coordination/src/core/config/options.ts
@@ -5,9 +5,9 @@
   /** Whether a version may replace the active one. */
   readonly mayReplace: (inForceVersion: number, version: number) => boolean;
   /** Whether a process without proof of freshness that sees this share of targets accepts work. */
-  readonly maySeeEnough: (seenRatio: number) => boolean;
+  readonly mayAcceptWork: (seenRatio: number) => boolean;
   /** Whether a peer's freshness counts only in an exchange that this member started. */
-  readonly freshnessNeedsOwnQuestion: boolean;
+  readonly freshnessNeedsOwnRequest: boolean;
 }
 
 /** Options of configuration sync. */
@@ -32,8 +32,8 @@
 /** The default rules, all enforced. */
 export const CONFIG_GUARDS: ConfigGuards = {
   mayReplace: (inForceVersion, version) => version > inForceVersion,
-  maySeeEnough: (seenRatio) => seenRatio >= 0.5,
-  freshnessNeedsOwnQuestion: true,
+  mayAcceptWork: (seenRatio) => seenRatio >= 0.5,
+  freshnessNeedsOwnRequest: true,
 };
 
 /** The default options; see docs/design/configuration.md. */
--- a/packages/coordination/src/core/dependencies/budget.ts
+++ b/packages/coordination/src/core/dependencies/budget.ts
@@ -52,7 +52,7 @@
  * @param elapsedMs - Time since the outer call was accepted with `budget`.
  * @returns null if too little time remains for an inner call to be useful.
  */
-export function passOnBudget(budget: CallBudget, elapsedMs: number): CallBudget | null {
+export function deriveInnerBudget(budget: CallBudget, elapsedMs: number): CallBudget | null {
   const remainingMs = budget.remainingMs - Math.max(0, elapsedMs);
   const reserveMs = Math.max(MIN_RESERVE_MS, remainingMs * RESERVE_RATIO);
   const innerMs = Math.floor(remainingMs - reserveMs);
--- a/packages/coordination/src/core/drain/planned-changes.ts
+++ b/packages/coordination/src/core/drain/planned-changes.ts
@@ -25,7 +25,7 @@
   readonly target: string;
   /** Whether the target leaves regardless of the decision. */
   readonly forced: boolean;
-  readonly askedAtMs: number;
+  readonly requestedAtMs: number;
 }
 
 /** The state of a target, as known to the planner. */
@@ -136,7 +136,7 @@
 
 function compareUrgency(one: ChangeRequest, other: ChangeRequest): number {
   if (one.forced !== other.forced) return one.forced ? -1 : 1;
-  return one.askedAtMs - other.askedAtMs || (one.id < other.id ? -1 : 1);
+  return one.requestedAtMs - other.requestedAtMs || (one.id < other.id ? -1 : 1);
 }
 
 /**
--- a/packages/coordination/src/core/events/outage.ts
+++ b/packages/coordination/src/core/events/outage.ts
@@ -9,7 +9,7 @@
 
 /** State of the outage detection. */
 export interface OutageWatch {
-  failuresInRow: number;
+  consecutiveFailures: number;
   /** When the current outage was detected, by the process's monotonic clock; null without one. */
   outSinceMs: number | null;
 }
@@ -23,21 +23,22 @@
 
 /** Creates the state before the first call. */
 export function createOutageWatch(): OutageWatch {
-  return { failuresInRow: 0, outSinceMs: null };
+  return { consecutiveFailures: 0, outSinceMs: null };
 }
 
 /** Records a successful call. */
-export function noteSuccess(watch: OutageWatch): OutageChange {
-  watch.failuresInRow = 0;
+export function recordCallSuccess(watch: OutageWatch): OutageChange {
+  watch.consecutiveFailures = 0;
   if (watch.outSinceMs === null) return OutageChange.None;
   watch.outSinceMs = null;
   return OutageChange.Ended;
 }
 
 /** Records a failed call. */
-export function noteFailure(watch: OutageWatch, nowMs: number): OutageChange {
-  watch.failuresInRow += 1;
-  if (watch.outSinceMs !== null || watch.failuresInRow < OUTAGE_FAILURES) return OutageChange.None;
+export function recordCallFailure(watch: OutageWatch, nowMs: number): OutageChange {
+  watch.consecutiveFailures += 1;
+  if (watch.outSinceMs !== null || watch.consecutiveFailures < OUTAGE_FAILURES)
+    return OutageChange.None;
   watch.outSinceMs = nowMs;
   return OutageChange.Began;
 }
--- a/packages/coordination/src/core/forwarding/crash-memory.ts
+++ b/packages/coordination/src/core/forwarding/crash-memory.ts
@@ -34,7 +34,7 @@
 }
 
 /** Records a crash. Recording the same crash again has no effect. */
-export function rememberCrash(memory: CrashMemory, { content, target }: CrashNote): void {
+export function addCrash(memory: CrashMemory, { content, target }: CrashNote): void {
   const targets = memory.targetsByContent.get(content) ?? new Set();
   targets.add(target);
   memory.targetsByContent.set(content, targets);
@@ -53,7 +53,7 @@
  * callers may send the same content, and targets that crash for other reasons interrupt some of
  * these requests.
  */
-export function clearContent(memory: CrashMemory, content: string): readonly CrashNote[] {
+export function markContentHarmless(memory: CrashMemory, content: string): readonly CrashNote[] {
   const targets = memory.targetsByContent.get(content) ?? new Set();
   memory.targetsByContent.delete(content);
   memory.cleared.delete(content);
--- a/packages/coordination/src/core/forwarding/event-framing.ts
+++ b/packages/coordination/src/core/forwarding/event-framing.ts
@@ -24,7 +24,7 @@
 const ID_LINE = /^id:[ ]?(.*)$/gm;
 
 /** Adds received bytes and returns the bytes of all events that are now complete, possibly none. */
-export function takeEventBytes(framing: EventFraming, chunk: Buffer): Buffer {
+export function addEventBytes(framing: EventFraming, chunk: Buffer): Buffer {
   const bytes = framing.rest.length === 0 ? chunk : Buffer.concat([framing.rest, chunk]);
   const end = endOfLastEvent(bytes);
   framing.rest = bytes.subarray(end);
--- a/packages/coordination/src/core/forwarding/fleet-view.ts
+++ b/packages/coordination/src/core/forwarding/fleet-view.ts
@@ -9,7 +9,7 @@
   type CrashNote,
   createCrashMemory,
   removeCrash,
-  rememberCrash,
+  addCrash,
 } from './crash-memory.js';
 import type { FleetConfiguration, TargetEntry } from './fleet.js';
 import { type RouteTable, newerRouteTable } from './route-table.js';
@@ -37,7 +37,7 @@
   Gateway = 'gateway',
   GatewayRemoved = 'gateway-removed',
   Crash = 'crash',
-  CrashForgotten = 'crash-forgotten',
+  CrashRemoved = 'crash-forgotten',
 }
 
 /** A change of the fleet. `revision` is the store's revision, which only increases. */
@@ -58,7 +58,7 @@
       readonly gateway: GatewayEntry;
     }
   | {
-      readonly kind: FleetChangeKind.Crash | FleetChangeKind.CrashForgotten;
+      readonly kind: FleetChangeKind.Crash | FleetChangeKind.CrashRemoved;
       readonly revision: number;
       readonly crash: CrashNote;
     }
@@ -130,7 +130,7 @@
 }
 
 /** Records that the store answered. An answer after an outage starts the grace period. */
-export function noteStoreAnswer(view: FleetView, nowMs: number): void {
+export function recordStoreAnswer(view: FleetView, nowMs: number): void {
   const isAfterOutage = view.revision > 0 && nowMs - view.confirmedAtMs > OUTAGE_INACTIVITY_MS;
   if (isAfterOutage) view.graceUntilMs = nowMs + EXPIRY_GRACE_MS;
   view.confirmedAtMs = nowMs;
@@ -190,9 +190,9 @@
       view.gateways.delete(change.id);
       return;
     case FleetChangeKind.Crash:
-      rememberCrash(view.crashes, change.crash);
+      addCrash(view.crashes, change.crash);
       return;
-    case FleetChangeKind.CrashForgotten:
+    case FleetChangeKind.CrashRemoved:
       removeCrash(view.crashes, change.crash);
       return;
   }
@@ -240,7 +240,7 @@
 }
 
 /** Removes targets whose entry is still missing at the end of the grace period. */
-export function settleDoubts(view: FleetView, nowMs: number): void {
+export function removeMissingTargets(view: FleetView, nowMs: number): void {
   for (const known of [...view.targets.values()]) {
     if (known.missingSinceMs !== null && nowMs >= view.graceUntilMs) dropTarget(view, known);
   }
@@ -266,7 +266,7 @@
  * Returns whether a target has restarted since this entry, which loses all state of the earlier
  * start.
  */
-export function hasStartedAgain(view: FleetView, { id, name }: TargetEntry): boolean {
+export function hasRestarted(view: FleetView, { id, name }: TargetEntry): boolean {
   const newest = view.idsByName.get(name);
   return newest !== undefined && newest !== id;
 }
--- a/packages/coordination/src/core/forwarding/news-pace.ts
+++ b/packages/coordination/src/core/forwarding/news-pace.ts
@@ -8,7 +8,7 @@
 import { waitAfterFailuresMs } from '../retries/retries.js';
 
 /** Options of the poll interval. */
-export interface NewsPaceOptions {
+export interface PollIntervalOptions {
   /** Longest time within which a change in the store must be applied here. */
   readonly applyWithinMs: number;
   /** Pause between two polls while gateways that started together find each other. */
@@ -20,7 +20,7 @@
 }
 
 /** Returns the default options for a platform on which changes must be applied within this time. */
-export function newsPaceOptions(applyWithinMs: number): NewsPaceOptions {
+export function pollIntervalOptions(applyWithinMs: number): PollIntervalOptions {
   return { applyWithinMs, startPauseMs: 600, startMs: 5000, failurePauseMs: 200 };
 }
 
@@ -40,14 +40,14 @@
 
 /** Poll state of one gateway. */
 export interface PollInterval {
-  readonly options: NewsPaceOptions;
+  readonly options: PollIntervalOptions;
   /** Time of the first successful poll since the last failure; null after a failure. */
   succeedingSinceMs: number | null;
   failuresInARow: number;
 }
 
 /** Creates the state of a gateway that has not polled yet. */
-export function createNewsPace(options: NewsPaceOptions): PollInterval {
+export function createPollInterval(options: PollIntervalOptions): PollInterval {
   return { options, succeedingSinceMs: null, failuresInARow: 0 };
 }
 
@@ -56,7 +56,7 @@
  * continuously, because some target has always written since the last poll and each poll is
  * answered at once.
  */
-export function pauseAfterNewsMs(poll: PollInterval, nowMs: number): number {
+export function pauseAfterAnswerMs(poll: PollInterval, nowMs: number): number {
   const { applyWithinMs, startPauseMs, startMs } = poll.options;
   poll.failuresInARow = 0;
   poll.succeedingSinceMs ??= nowMs;
@@ -75,5 +75,5 @@
   poll.failuresInARow += 1;
   poll.succeedingSinceMs = null;
   const mostMs = Math.max(firstMs, applyWithinMs * FAILURE_PAUSE_SHARE);
-  return waitAfterFailuresMs(poll.failuresInARow, { firstMs, mostMs }, random);
+  return waitAfterFailuresMs(poll.failuresInARow, { initialMs: firstMs, maxMs: mostMs }, random);
 }
--- a/packages/coordination/src/core/forwarding/retry-window.ts
+++ b/packages/coordination/src/core/forwarding/retry-window.ts
@@ -34,7 +34,7 @@
 }
 
 /** Counts a request from a caller. */
-export function noteWindowRequest(window: RetryWindow, nowMs: number): void {
+export function recordWindowRequest(window: RetryWindow, nowMs: number): void {
   window.requestsAtMs.push(nowMs);
   removeExpired(window, nowMs);
 }
@@ -44,7 +44,7 @@
  * in which the load on a failing service multiplies. The limit holds in every window because
  * requests and retries are counted over the same window.
  */
-export function takeWindowRetries(
+export function reserveWindowRetries(
   window: RetryWindow,
   retries: number,
   gateways: number,
--- a/packages/coordination/src/core/loads/load-planner.ts
+++ b/packages/coordination/src/core/loads/load-planner.ts
@@ -8,7 +8,7 @@
 import type { Random } from '../random/random.js';
 
 /** A requested load of a model or adapter onto a target. */
-export interface LoadWish {
+export interface LoadRequest {
   readonly target: string;
   readonly service: string;
   readonly failureDomain: string;
@@ -71,7 +71,7 @@
   notBeforeMs: number;
   slowDowns: number;
   /** Loads in progress by target; at most `maxActive`. */
-  readonly active: Map<string, LoadWish>;
+  readonly active: Map<string, LoadRequest>;
 }
 
 /**
@@ -104,9 +104,10 @@
  * Returns a comparator by urgency: fewest holders first, then failure domains without a load in
  * progress, then by target name.
  */
-function createUrgencyComparator(state: LoadState): (a: LoadWish, b: LoadWish) => number {
+function createUrgencyComparator(state: LoadState): (a: LoadRequest, b: LoadRequest) => number {
   const loadingDomains = new Set([...state.active.values()].map((load) => load.failureDomain));
-  const loadingRank = (load: LoadWish): number => (loadingDomains.has(load.failureDomain) ? 1 : 0);
+  const loadingRank = (load: LoadRequest): number =>
+    loadingDomains.has(load.failureDomain) ? 1 : 0;
   return (a, b) =>
     a.holders - b.holders ||
     loadingRank(a) - loadingRank(b) ||
@@ -119,16 +120,16 @@
  */
 export function planLoads(
   state: LoadState,
-  requestedLoads: readonly LoadWish[],
+  requestedLoads: readonly LoadRequest[],
   status: StoreStatus,
   context: { readonly nowMs: number; readonly random: Random },
-): LoadWish[] {
+): LoadRequest[] {
   refillBucket(state, status, context.nowMs);
   if (status.retryAfterMs > 0 && state.options.obeysSlowDown) {
     const jitteredMs = status.retryAfterMs * (1 + context.random() / 2);
     state.notBeforeMs = Math.max(state.notBeforeMs, context.nowMs + jitteredMs);
   }
-  const startedLoads: LoadWish[] = [];
+  const startedLoads: LoadRequest[] = [];
   while (context.nowMs >= state.notBeforeMs && state.active.size < state.options.maxActive) {
     const waitingLoads = requestedLoads.filter((load) => !state.active.has(load.target));
     const [next] = waitingLoads.sort(createUrgencyComparator(state));
--- a/packages/coordination/src/core/membership/doubting.ts
+++ b/packages/coordination/src/core/membership/doubting.ts
@@ -40,13 +40,13 @@
 
 function healthByDomain(state: MembershipState, nowMs: number): Map<string, DomainHealth> {
   const byDomain = new Map<string, DomainHealth>();
-  for (const { member, changedAtMs, stateBeforeSilence } of state.records.values()) {
+  for (const { member, changedAtMs, stateBeforeLocalSuspicion } of state.records.values()) {
     if (member.failureDomain === state.self.failureDomain) continue;
     const isDead = member.state === MemberState.Dead;
     if (isDead && nowMs - changedAtMs > RECENT_DEATH_MS) continue;
     const health = byDomain.get(member.failureDomain) ?? { down: 0, up: [] };
     byDomain.set(member.failureDomain, health);
-    const isSuspect = member.state === MemberState.Suspect && stateBeforeSilence === null;
+    const isSuspect = member.state === MemberState.Suspect && stateBeforeLocalSuspicion === null;
     if (isDead || isSuspect) health.down += 1;
     else health.up.push(member.id);
   }
@@ -69,7 +69,7 @@
   const member = { ...record.member, state: MemberState.Suspect };
   const reason = 'most of its failure domain is down';
   const effect = replaceMember(state, record, member, reason, context);
-  record.stateBeforeSilence = previous;
+  record.stateBeforeLocalSuspicion = previous;
   state.domainSuspects.set(id, context.nowMs + DOMAIN_SUSPICION_MS);
   return [effect];
 }
--- a/packages/coordination/src/core/membership/effects.ts
+++ b/packages/coordination/src/core/membership/effects.ts
@@ -16,7 +16,7 @@
   /** The state of a member changed in this process's view. */
   MemberChanged = 'member-changed',
   /** Hints of other subsystems arrived. */
-  HintsHeard = 'hints-heard',
+  HintsReceived = 'hints-heard',
   /** An update was rejected; increment the counter. */
   Refused = 'refused',
 }
@@ -41,7 +41,7 @@
       readonly reason: string;
     }
   | {
-      readonly kind: MembershipEffectKind.HintsHeard;
+      readonly kind: MembershipEffectKind.HintsReceived;
       readonly from: string;
       readonly hints: Hints;
       /**
--- a/packages/coordination/src/core/membership/gossiping.ts
+++ b/packages/coordination/src/core/membership/gossiping.ts
@@ -23,7 +23,11 @@
   to: string,
   context: MembershipContext,
 ): MembershipEffect {
-  const news = takeUpdates(state.news, state.options.updateBytesPerMessage, sendLimit(state));
+  const news = takeUpdates(
+    state.updateQueue,
+    state.options.updateBytesPerMessage,
+    sendLimit(state),
+  );
   const message: MembershipMessage = {
     method: MembershipMethod.Gossip,
     hints: context.hints(),
@@ -50,7 +54,7 @@
   const effects: MembershipEffect[] = [];
   for (let sent = 0; sent < gossipFanout; sent += 1) {
     if (
-      isUpdateQueueEmpty(state.news) ||
+      isUpdateQueueEmpty(state.updateQueue) ||
       state.gossipBudgetBytes < state.options.updateBytesPerMessage
     )
       break;
--- a/packages/coordination/src/core/membership/index.ts
+++ b/packages/coordination/src/core/membership/index.ts
@@ -7,7 +7,7 @@
 export { DATAGRAM_HEADER_BYTES } from './gossiping.js';
 export * from './leaving-signs.js';
 export {
-  NOT_CONTRADICTED,
+  SUSPICION_NOT_REFUTED,
   announceLeaving,
   announceLeft,
   membershipWakeAtMs,
--- a/packages/coordination/src/core/membership/membership.ts
+++ b/packages/coordination/src/core/membership/membership.ts
@@ -71,7 +71,7 @@
   record: MemberRecord,
   context: MembershipContext,
 ): boolean {
-  if (!state.options.guards.silenceIsOwnFault) return false;
+  if (!state.options.guards.suspectsLocallyWhenIsolated) return false;
   const finalPingAtMs = record.suspectDeadlineMs - FINAL_PING_LEAD_MS;
   if (inContactSince(state, finalPingAtMs, context.nowMs)) return false;
   record.nextPingAtMs = context.nowMs;
@@ -80,19 +80,19 @@
 }
 
 /** Reason of the change when this member itself declares a suspect dead. */
-export const NOT_CONTRADICTED = 'suspicion not contradicted';
+export const SUSPICION_NOT_REFUTED = 'suspicion not contradicted';
 
 function declareDead(state: MembershipState, context: MembershipContext): MembershipEffect[] {
   const effects: MembershipEffect[] = [];
   for (const id of [...state.suspects]) {
     const record = state.records.get(id);
-    if (record === undefined || record.stateBeforeSilence !== null) continue;
+    if (record === undefined || record.stateBeforeLocalSuspicion !== null) continue;
     if (context.nowMs < record.suspectDeadlineMs) continue;
     if (deferUntilContact(state, record, context)) continue;
     const { incarnation } = record.member;
     const update = { id, state: MemberState.Dead, incarnation, details: null };
     // Every member that received the suspicion runs the same timer, so the death needs no gossip.
-    effects.push(...applyUpdate(state, update, Propagation.None, NOT_CONTRADICTED, context));
+    effects.push(...applyUpdate(state, update, Propagation.None, SUSPICION_NOT_REFUTED, context));
   }
   return effects;
 }
@@ -109,7 +109,7 @@
   const effects: MembershipEffect[] = [];
   for (const id of state.suspects) {
     const record = state.records.get(id);
-    if (record === undefined || record.stateBeforeSilence !== null) continue;
+    if (record === undefined || record.stateBeforeLocalSuspicion !== null) continue;
     if (context.nowMs < record.nextPingAtMs || context.nowMs < state.suspectPingNotBeforeMs)
       continue;
     record.nextPingAtMs += FINAL_PING_LEAD_MS / 2;
@@ -148,7 +148,7 @@
   let earliestMs = Infinity;
   for (const id of state.suspects) {
     const record = state.records.get(id);
-    if (record === undefined || record.stateBeforeSilence !== null) continue;
+    if (record === undefined || record.stateBeforeLocalSuspicion !== null) continue;
     const nextPingAtMs = Math.max(record.nextPingAtMs, state.suspectPingNotBeforeMs);
     earliestMs = Math.min(earliestMs, record.suspectDeadlineMs, nextPingAtMs);
   }
@@ -160,7 +160,7 @@
 export function membershipWakeAtMs(state: MembershipState): number {
   const { probe, timers } = state;
   const probeWakeMs = probe === null ? timers.probeAtMs : (probe.indirectAtMs ?? probe.endsAtMs);
-  const gossipWakeMs = isUpdateQueueEmpty(state.news) ? Infinity : timers.gossipAtMs;
+  const gossipWakeMs = isUpdateQueueEmpty(state.updateQueue) ? Infinity : timers.gossipAtMs;
   return Math.min(
     probeWakeMs,
     gossipWakeMs,
@@ -222,7 +222,7 @@
 
 function hintsReceived(from: string, hints: Hints, askedAtMs: number | null): MembershipEffect[] {
   if (hints.length === 0) return [];
-  return [{ kind: MembershipEffectKind.HintsHeard, from, hints, askedAtMs }];
+  return [{ kind: MembershipEffectKind.HintsReceived, from, hints, askedAtMs }];
 }
 
 function receiveAck(
--- a/packages/coordination/src/core/membership/options.ts
+++ b/packages/coordination/src/core/membership/options.ts
@@ -20,7 +20,7 @@
    * Whether a probe that neither its target nor a helper answered leads only to a local suspicion,
    * because this member itself may be cut off.
    */
-  readonly silenceIsOwnFault: boolean;
+  readonly suspectsLocallyWhenIsolated: boolean;
   /** Whether a process refutes updates that report it as suspect or dead. */
   readonly refutes: boolean;
   /** Whether dead members are still probed, so that the sides of a healed partition reconnect. */
--- a/packages/coordination/src/core/membership/probing.ts
+++ b/packages/coordination/src/core/membership/probing.ts
@@ -49,7 +49,7 @@
 export function sendLimit(state: MembershipState): number {
   const members = state.records.size + 1;
   const limit = state.options.retransmitFactor * Math.ceil(Math.log(members + 1));
-  const isLong = state.suspects.size > 0 && updateCount(state.news) > LONG_QUEUE_UPDATES;
+  const isLong = state.suspects.size > 0 && updateCount(state.updateQueue) > LONG_QUEUE_UPDATES;
   return isLong ? Math.ceil(limit / 3) : limit;
 }
 
@@ -59,9 +59,13 @@
  */
 export function updatesFor(state: MembershipState, receiver: string): MemberUpdate[] {
   const record = state.records.get(receiver);
-  const updates = takeUpdates(state.news, state.options.updateBytesPerMessage, sendLimit(state));
+  const updates = takeUpdates(
+    state.updateQueue,
+    state.options.updateBytesPerMessage,
+    sendLimit(state),
+  );
   // A local suspicion is not sent: it was not gossiped, so there is nothing to refute.
-  if (record === undefined || record.stateBeforeSilence !== null) return updates;
+  if (record === undefined || record.stateBeforeLocalSuspicion !== null) return updates;
   const { id, incarnation, state: current } = record.member;
   if (current === MemberState.Alive) return updates;
   return [{ id, state: current, incarnation, details: null }, ...updates];
@@ -195,7 +199,7 @@
   if (record === undefined) return [];
   const isConnected = probe.nacks > 0;
   const { id, incarnation } = record.member;
-  if (!isConnected && state.options.guards.silenceIsOwnFault) {
+  if (!isConnected && state.options.guards.suspectsLocallyWhenIsolated) {
     return suspectLocally(state, id, context);
   }
   const update = { id, state: MemberState.Suspect, incarnation, details: null };
@@ -220,7 +224,7 @@
   const member = { ...record.member, state: MemberState.Suspect };
   const reason = 'no answer, and none from helpers';
   const effect = replaceMember(state, record, member, reason, context);
-  record.stateBeforeSilence = previous;
+  record.stateBeforeLocalSuspicion = previous;
   state.silent.add(id);
   return [effect];
 }
--- a/packages/coordination/src/core/membership/state.ts
+++ b/packages/coordination/src/core/membership/state.ts
@@ -25,7 +25,7 @@
    * suspicion is not gossiped. It is formed when this member may be cut off or the member's failure
    * domain is lost.
    */
-  stateBeforeSilence: MemberState | null;
+  stateBeforeLocalSuspicion: MemberState | null;
 }
 
 /** The probe in progress. */
@@ -62,7 +62,7 @@
   self: Member;
   readonly records: Map<string, MemberRecord>;
   readonly suspects: Set<string>;
-  /** Members suspected locally while this member may be cut off; see `stateBeforeSilence`. */
+  /** Members suspected locally while this member may be cut off; see `stateBeforeLocalSuspicion`. */
   readonly silent: Set<string>;
   /** Members suspected locally because their failure domain is lost, and until when. */
   readonly domainSuspects: Map<string, number>;
@@ -81,7 +81,7 @@
   returnedPeer: string | null;
   /** Until when dead members are probed at the probe interval, because a partition is healing. */
   healingUntilMs: number;
-  readonly news: UpdateQueue;
+  readonly updateQueue: UpdateQueue;
   readonly digests: Uint32Array;
   readonly timers: {
     probeAtMs: number;
@@ -131,7 +131,7 @@
     return stateRank(update.state) > stateRank(current.state);
   },
   pauseThresholdMs: 500,
-  silenceIsOwnFault: true,
+  suspectsLocallyWhenIsolated: true,
   refutes: true,
   probesDead: true,
 };
@@ -230,7 +230,7 @@
     sync: null,
     returnedPeer: null,
     healingUntilMs: 0,
-    news,
+    updateQueue: news,
     digests,
     timers: {
       probeAtMs: nowMs + phase * options.probeIntervalMs,
--- a/packages/coordination/src/core/membership/syncing.ts
+++ b/packages/coordination/src/core/membership/syncing.ts
@@ -139,8 +139,8 @@
 ): Map<number, MemberUpdate[]> {
   const grouped = new Map<number, MemberUpdate[]>();
   // Local suspicions are not sent to other members.
-  const members = [...state.records.values()].map(({ member, stateBeforeSilence }) =>
-    stateBeforeSilence === null ? member : { ...member, state: stateBeforeSilence },
+  const members = [...state.records.values()].map(({ member, stateBeforeLocalSuspicion }) =>
+    stateBeforeLocalSuspicion === null ? member : { ...member, state: stateBeforeLocalSuspicion },
   );
   for (const member of [...members, state.self]) {
     const bucket = bucketOf(member.id, context.hash32);
--- a/packages/coordination/src/core/membership/view.ts
+++ b/packages/coordination/src/core/membership/view.ts
@@ -39,7 +39,7 @@
   state.suspects.delete(id);
   state.dead.delete(id);
   record.suspectDeadlineMs = 0;
-  record.stateBeforeSilence = null;
+  record.stateBeforeLocalSuspicion = null;
   state.silent.delete(id);
   state.domainSuspects.delete(id);
   if (memberState === MemberState.Suspect) {
@@ -78,8 +78,8 @@
   context: MembershipContext,
 ): MembershipEffect[] {
   const record = state.records.get(id);
-  if (record === undefined || record.stateBeforeSilence === null) return [];
-  const member = { ...record.member, state: record.stateBeforeSilence };
+  if (record === undefined || record.stateBeforeLocalSuspicion === null) return [];
+  const member = { ...record.member, state: record.stateBeforeLocalSuspicion };
   return [replaceMember(state, record, member, reason, context)];
 }
 
@@ -119,7 +119,7 @@
     changedAtMs: context.nowMs,
     suspectDeadlineMs: 0,
     nextPingAtMs: 0,
-    stateBeforeSilence: null,
+    stateBeforeLocalSuspicion: null,
   };
   state.records.set(update.id, record);
   toggleInDigest(state.digests, member, context.hash32);
@@ -181,7 +181,7 @@
   toggleInDigest(state.digests, state.self, context.hash32);
   state.self = self;
   toggleInDigest(state.digests, self, context.hash32);
-  enqueueUpdate(state.news, updateOf(self));
+  enqueueUpdate(state.updateQueue, updateOf(self));
 }
 
 /** Applies one update. Returns no effects when the update is not newer than the current state. */
@@ -199,13 +199,16 @@
   const record = state.records.get(update.id);
   if (record === undefined) return applyUpdateOfUnknownMember(state, update, propagation, context);
   // A local suspicion does not take part in the ordering of updates from other members.
-  const current = { ...record.member, state: record.stateBeforeSilence ?? record.member.state };
+  const current = {
+    ...record.member,
+    state: record.stateBeforeLocalSuspicion ?? record.member.state,
+  };
   if (!state.options.guards.supersedes(current, update)) return [];
   const { incarnation } = update;
   const details = update.details ?? detailsOf(record.member);
   const member: Member = { ...record.member, ...details, incarnation, state: update.state };
   const effect = replaceMember(state, record, member, reason, context);
-  if (propagation === Propagation.Gossip) enqueueUpdate(state.news, update);
+  if (propagation === Propagation.Gossip) enqueueUpdate(state.updateQueue, update);
   return [effect];
 }
 
@@ -222,7 +225,7 @@
   if (update.details === null) return [];
   const effect = addMember(state, update, update.details, context);
   const isAdded = effect.kind === MembershipEffectKind.MemberChanged;
-  if (isAdded && propagation === Propagation.Gossip) enqueueUpdate(state.news, update);
+  if (isAdded && propagation === Propagation.Gossip) enqueueUpdate(state.updateQueue, update);
   return [effect];
 }
 
--- a/packages/coordination/src/core/outliers/outliers.ts
+++ b/packages/coordination/src/core/outliers/outliers.ts
@@ -65,7 +65,7 @@
 }
 
 /** Sets the current targets. Targets that left are removed, which bounds the state. */
-export function noteOutlierTargets(outliers: Outliers, names: readonly string[]): void {
+export function setOutlierTargets(outliers: Outliers, names: readonly string[]): void {
   const currentNames = new Set(names);
   for (const name of outliers.targets.keys()) {
     if (currentNames.has(name)) continue;
@@ -92,7 +92,7 @@
 const NEWEST_SAMPLE_WEIGHT = 0.1;
 
 /** Records an answer. `slowness` is its time divided by the predicted time, 1 when as predicted. */
-export function noteAnswer(
+export function recordTargetAnswer(
   outliers: Outliers,
   target: string,
   slowness: number,
@@ -114,7 +114,7 @@
 }
 
 /** Records a failure caused by the target. */
-export function noteTargetFailure(
+export function recordTargetFailure(
   outliers: Outliers,
   target: string,
   nowMs: number,
--- a/packages/coordination/src/core/placement/absence.ts
+++ b/packages/coordination/src/core/placement/absence.ts
@@ -12,7 +12,7 @@
   /** When this process first saw this incarnation of the member. */
   readonly seenSinceMs: number;
   /** Latest time at which the member was suspect or dead, or null if it never was. */
-  readonly lastAwayAtMs: number | null;
+  readonly lastOutOfContactAtMs: number | null;
   /** Whether the member is an entry, which accepts requests but needs a sidecar to run them. */
   readonly isEntry: boolean;
 }
@@ -52,7 +52,7 @@
   if (formerHolders.length < 2) return false;
   if (!formerHolders.every((holder) => evidence.absentAt.includes(holder))) return false;
   const outOfContact = evidence.contacts.filter(
-    (contact) => (contact.lastAwayAtMs ?? -Infinity) > horizonStartMs,
+    (contact) => (contact.lastOutOfContactAtMs ?? -Infinity) > horizonStartMs,
   );
   return !(
     outOfContact.some((contact) => contact.isEntry) &&
--- a/packages/coordination/src/core/placement/renewals.ts
+++ b/packages/coordination/src/core/placement/renewals.ts
@@ -18,7 +18,7 @@
  * memory, or null if all keys stay where they are. A member that refuted a suspicion counts as new
  * too, because its higher incarnation cannot be distinguished from a restart.
  */
-export function takePlaced(
+export function updatePlacedMembers(
   known: PlacedMembers,
   present: readonly PlacedMember[],
 ): ReadonlySet<string> | null {
--- a/packages/coordination/src/core/poison/client-types.ts
+++ b/packages/coordination/src/core/poison/client-types.ts
@@ -11,7 +11,7 @@
 import type { Random } from '../random/random.js';
 import type { LoneRunEnd, LoneRunOutcome } from '../records/drive-types.js';
 import type { Place } from '../records/place.js';
-import type { LoneProbe } from '../records/messages.js';
+import type { LoneRunStatus } from '../records/messages.js';
 import type { IsConvicted, LoneRun } from './ledger.js';
 
 /** Limits and decision functions of the poison client. */
@@ -20,22 +20,22 @@
   /** Average delay before a failed read or transaction is retried. */
   readonly retryMs: number;
   /** How long a crash report is retried through an outage before it is dropped. */
-  readonly reportForMs: number;
+  readonly reportRetryWindowMs: number;
   /** Delay after which a suspect that got no lone run should request one again. */
-  readonly laterMs: number;
+  readonly loneRunRetryMs: number;
   readonly isConvicted: IsConvicted;
-  readonly mayBegin: MayBegin;
+  readonly mayBeginLoneRun: MayBeginLoneRun;
 }
 
 /** Decides from the stored lone run of a service whether the lone run of an attempt may begin. */
-export type MayBegin = (storedLoneRun: LoneRun | null, attemptId: string) => boolean;
+export type MayBeginLoneRun = (storedLoneRun: LoneRun | null, attemptId: string) => boolean;
 
 /** Kinds of operations on the ledger. */
 export enum PoisonWorkKind {
   /** Adds a crash to the ledger. */
   ReportCrash = 'report-crash',
   /** Requests the lone run of a service for a suspect. */
-  AskLoneRun = 'ask-lone-run',
+  RequestLoneRun = 'ask-lone-run',
   /** Records how a lone run ended, and removes it. */
   Settle = 'settle',
 }
@@ -49,7 +49,7 @@
       readonly attemptId: string;
     }
   | {
-      readonly kind: PoisonWorkKind.AskLoneRun;
+      readonly kind: PoisonWorkKind.RequestLoneRun;
       readonly service: string;
       readonly bodyHash: string;
       readonly attemptId: string;
@@ -86,7 +86,7 @@
 
 /** Kinds of events that the client handles. */
 export enum PoisonEventKind {
-  Asked = 'asked',
+  Requested = 'asked',
   Read = 'read',
   Transacted = 'transacted',
   /** A read or transaction got no answer. */
@@ -97,7 +97,7 @@
 
 /** An event that the client handles. */
 export type PoisonEvent =
-  | { readonly kind: PoisonEventKind.Asked; readonly id: string; readonly work: PoisonWork }
+  | { readonly kind: PoisonEventKind.Requested; readonly id: string; readonly work: PoisonWork }
   | {
       readonly kind: PoisonEventKind.Read;
       readonly id: string;
@@ -110,7 +110,7 @@
       readonly outcome: TransactionOutcome;
     }
   | { readonly kind: PoisonEventKind.CallFailed; readonly id: string }
-  | { readonly kind: PoisonEventKind.Probed; readonly id: string; readonly probe: LoneProbe }
+  | { readonly kind: PoisonEventKind.Probed; readonly id: string; readonly probe: LoneRunStatus }
   | { readonly kind: PoisonEventKind.Tick };
 
 /** Kinds of effects that the client requests. */
--- a/packages/coordination/src/core/poison/client.ts
+++ b/packages/coordination/src/core/poison/client.ts
@@ -8,10 +8,10 @@
 import type { RevisionCompare, StoredValue, StoredWrite } from '../claims/key-value.js';
 import { LoneRunEnd, LoneRunOutcome } from '../records/drive-types.js';
 import type { Place } from '../records/place.js';
-import { LoneProbe } from '../records/messages.js';
+import { LoneRunStatus } from '../records/messages.js';
 import { PoisonEffectKind, PoisonEventKind, PoisonWorkKind } from './client-types.js';
 import type {
-  MayBegin,
+  MayBeginLoneRun,
   Operation,
   PoisonContext,
   PoisonEffect,
@@ -33,7 +33,7 @@
  * Allows one lone run per service, which is stored before it begins. Otherwise two suspects could
  * run at the same time and crash two targets at once, which can be half of a small service.
  */
-export const mayBegin: MayBegin = (storedLoneRun, attemptId) =>
+export const allowOneLoneRun: MayBeginLoneRun = (storedLoneRun, attemptId) =>
   storedLoneRun === null || storedLoneRun.attemptId === attemptId;
 
 /** Handling of one event: collects its effects. */
@@ -55,7 +55,7 @@
   context: PoisonContext,
 ): readonly PoisonEffect[] {
   const turn: Turn = { state, context, out: [] };
-  if (event.kind === PoisonEventKind.Asked) startOperation(turn, event.id, event.work);
+  if (event.kind === PoisonEventKind.Requested) startOperation(turn, event.id, event.work);
   else if (event.kind === PoisonEventKind.Tick) tick(turn);
   else {
     const operation = state.operations.get(event.id);
@@ -77,7 +77,7 @@
     retryAtMs: null,
   };
   if (state.operations.size >= context.options.maxOperations) {
-    if (work.kind === PoisonWorkKind.AskLoneRun) replyLater(turn, operation);
+    if (work.kind === PoisonWorkKind.RequestLoneRun) replyLater(turn, operation);
     return;
   }
   state.operations.set(id, operation);
@@ -85,7 +85,7 @@
   read(turn, operation);
 }
 
-type StepEvent = Exclude<PoisonEvent, { kind: PoisonEventKind.Asked | PoisonEventKind.Tick }>;
+type StepEvent = Exclude<PoisonEvent, { kind: PoisonEventKind.Requested | PoisonEventKind.Tick }>;
 
 function handleStep(turn: Turn, operation: Operation, event: StepEvent): void {
   switch (event.kind) {
@@ -122,7 +122,7 @@
     case PoisonWorkKind.ReportCrash:
       writeCrash(turn, operation);
       return;
-    case PoisonWorkKind.AskLoneRun:
+    case PoisonWorkKind.RequestLoneRun:
       claimLoneRun(turn, operation);
       return;
     case PoisonWorkKind.Settle:
@@ -144,14 +144,17 @@
 
 function claimLoneRun(turn: Turn, operation: Operation): void {
   const { work } = operation;
-  if (work.kind !== PoisonWorkKind.AskLoneRun) return;
+  if (work.kind !== PoisonWorkKind.RequestLoneRun) return;
   const entry = parseLedgerEntry(operation.ledger);
   if (turn.context.options.isConvicted(entry)) {
     reply(turn, operation, LoneRunOutcome.Convicted, null);
     return;
   }
   const storedLoneRun = parseLoneRun(operation.lone);
-  if (!operation.mayReplace && !turn.context.options.mayBegin(storedLoneRun, work.attemptId)) {
+  if (
+    !operation.mayReplace &&
+    !turn.context.options.mayBeginLoneRun(storedLoneRun, work.attemptId)
+  ) {
     if (storedLoneRun === null) return;
     turn.out.push({ kind: PoisonEffectKind.Probe, id: operation.id, loneRun: storedLoneRun });
     return;
@@ -174,20 +177,20 @@
  * run's own crash report may be late, or its reporter may be gone, and the content that caused the
  * crash would otherwise run once more.
  */
-function handleProbe(turn: Turn, operation: Operation, probe: LoneProbe): void {
+function handleProbe(turn: Turn, operation: Operation, probe: LoneRunStatus): void {
   const storedLoneRun = parseLoneRun(operation.lone);
-  if (storedLoneRun === null || probe === LoneProbe.Running) {
+  if (storedLoneRun === null || probe === LoneRunStatus.Running) {
     replyLater(turn, operation);
     return;
   }
-  if (probe === LoneProbe.Over) {
+  if (probe === LoneRunStatus.Over) {
     operation.mayReplace = true;
     claimLoneRun(turn, operation);
     return;
   }
   const { service } = operation.work;
   const { bodyHash, attemptId } = storedLoneRun;
-  const isCrash = probe === LoneProbe.Crashed;
+  const isCrash = probe === LoneRunStatus.Crashed;
   const end = isCrash ? LoneRunEnd.Crashed : LoneRunEnd.Lost;
   const id = `${operation.id}/${end}/${attemptId}`;
   startOperation(turn, id, { kind: PoisonWorkKind.Settle, service, bodyHash, attemptId, end });
@@ -225,7 +228,7 @@
 function completeOperation(turn: Turn, operation: Operation): void {
   const { work } = operation;
   switch (work.kind) {
-    case PoisonWorkKind.AskLoneRun:
+    case PoisonWorkKind.RequestLoneRun:
       reply(turn, operation, LoneRunOutcome.Granted, work.place);
       return;
     case PoisonWorkKind.ReportCrash: {
@@ -256,11 +259,11 @@
 
 function retryOrGiveUp(turn: Turn, operation: Operation): void {
   const { context } = turn;
-  if (operation.work.kind === PoisonWorkKind.AskLoneRun) {
+  if (operation.work.kind === PoisonWorkKind.RequestLoneRun) {
     replyLater(turn, operation);
     return;
   }
-  if (context.nowMs - operation.startedAtMs > context.options.reportForMs) {
+  if (context.nowMs - operation.startedAtMs > context.options.reportRetryWindowMs) {
     turn.state.operations.delete(operation.id);
     return;
   }
@@ -293,9 +296,11 @@
     outcome,
     place,
     sidecarIncarnation:
-      operation.work.kind === PoisonWorkKind.AskLoneRun ? operation.work.sidecarIncarnation : '',
+      operation.work.kind === PoisonWorkKind.RequestLoneRun
+        ? operation.work.sidecarIncarnation
+        : '',
     crashes: parseLedgerEntry(operation.ledger).crashedAttemptIds.length,
-    retryAfterMs: turn.context.options.laterMs,
+    retryAfterMs: turn.context.options.loneRunRetryMs,
   });
 }
 
--- a/packages/coordination/src/core/poison/suspicions.ts
+++ b/packages/coordination/src/core/poison/suspicions.ts
@@ -31,7 +31,7 @@
 }
 
 /** Records crashes of a content. A full table evicts the least recently updated content. */
-export function noteCrashes(
+export function recordCrashes(
   table: SuspicionTable,
   bodyHash: string,
   attemptIds: readonly string[],
@@ -54,7 +54,7 @@
 }
 
 /** Differences between the table and the ledger. */
-export interface LedgerReading {
+export interface LedgerDifferences {
   /** Contents that were in the ledger before and were removed from it. */
   readonly cleared: readonly string[];
   /** Announced crashes that are missing from the ledger and have to be reported again. */
@@ -66,7 +66,7 @@
  * an unwritten crash reports it again. Otherwise a crash whose reporter died during an outage would
  * be lost, and the same content would crash another target.
  */
-export function readLedger(table: SuspicionTable, ledger: LedgerSnapshot): LedgerReading {
+export function mergeLedger(table: SuspicionTable, ledger: LedgerSnapshot): LedgerDifferences {
   const cleared: string[] = [];
   const unwritten = new Map<string, readonly string[]>();
   for (const [bodyHash, known] of table.byHash) {
@@ -76,7 +76,7 @@
     else if (missing.length > 0) unwritten.set(bodyHash, missing);
   }
   for (const bodyHash of cleared) clearSuspicion(table, bodyHash);
-  for (const [bodyHash, attemptIds] of ledger) noteCrashes(table, bodyHash, attemptIds, true);
+  for (const [bodyHash, attemptIds] of ledger) recordCrashes(table, bodyHash, attemptIds, true);
   table.isRead = true;
   return { cleared, unwritten };
 }
--- a/packages/coordination/src/core/rate-limits/limit-shares.ts
+++ b/packages/coordination/src/core/rate-limits/limit-shares.ts
@@ -78,7 +78,7 @@
  * Records what another gateway answered to a request for its share, sent at `askedAtMs`. A fraction
  * of 0 ends an earlier loan.
  */
-export function noteBorrowed(
+export function recordBorrowedShare(
   { borrowed }: LimitShares,
   service: string,
   lender: string,
--- a/packages/coordination/src/core/rate-limits/named-limits.ts
+++ b/packages/coordination/src/core/rate-limits/named-limits.ts
@@ -15,7 +15,7 @@
 const MIN_CHANGE_RATIO = 0.1;
 
 /** Kind of work that a target was called for. */
-export enum AskedWork {
+export enum RequestedWork {
   /** To prefill a prompt for another engine. */
   Read = 'read',
   /** To answer the request itself. */
@@ -25,7 +25,7 @@
 /** A target's answer, described by the request that it belongs to. */
 export interface TargetAnswer {
   /** Work that was done; null if the target rejected it, and for calls that are not requests. */
-  readonly work: AskedWork | null;
+  readonly work: RequestedWork | null;
   /** When the request was sent. */
   readonly sentAtMs: number;
   /** Id of the answer, unique across all gateways. */
@@ -33,27 +33,27 @@
 }
 
 /** Rate limit of a target according to its newest answer. */
-export interface NamedLimit {
+export interface AnnouncedLimit {
   readonly service: string;
   /** Requests per second accepted from all gateways together; null if there is no limit. */
   readonly perS: number | null;
   /** Id of the answer; part of each report, so that no answer counts twice. */
   readonly origin: string;
   /** Kind of work whose answers announce the limit; null if unknown. */
-  readonly work: AskedWork | null;
+  readonly work: RequestedWork | null;
   /** When the answer was received, by this gateway's clock. */
   readonly receivedAtMs: number;
   /** Start of the current state: limited, with whatever rate, or unlimited. */
   readonly sinceMs: number;
 }
 
-/** A {@link NamedLimit} as reported to another gateway: ages replace times, as clocks differ. */
+/** A {@link AnnouncedLimit} as reported to another gateway: ages replace times, as clocks differ. */
 export interface LimitReport {
   readonly target: string;
   readonly service: string;
   readonly perS: number | null;
   readonly origin: string;
-  readonly work: AskedWork | null;
+  readonly work: RequestedWork | null;
   /** Time since the answer. */
   readonly ageMs: number;
   /** Time since the first answer of the current state, limited or unlimited. */
@@ -61,7 +61,7 @@
 }
 
 /** Limits by target id. A target that restarts gets a new id. */
-export type NamedLimits = Map<string, NamedLimit>;
+export type AnnouncedLimits = Map<string, AnnouncedLimit>;
 
 /** The target that sent an answer. */
 export interface AnsweringTarget {
@@ -70,8 +70,8 @@
 }
 
 /** Records an announced limit. Returns whether it differs notably from the one known before. */
-export function noteLimitNamed(
-  limits: NamedLimits,
+export function recordLimit(
+  limits: AnnouncedLimits,
   { id, service }: AnsweringTarget,
   perS: number,
   { origin, work }: TargetAnswer,
@@ -94,8 +94,8 @@
  * nothing about the limit are ignored: those to requests sent before the target announced its limit,
  * rejections, and those to another kind of work than the one whose answers announce it.
  */
-export function noteLimitMissing(
-  limits: NamedLimits,
+export function recordNoLimit(
+  limits: AnnouncedLimits,
   { id, service }: AnsweringTarget,
   { work, sentAtMs, origin }: TargetAnswer,
   nowMs: number,
@@ -112,7 +112,7 @@
 
 /** Merges reports of another gateway. Returns the targets whose limit changed notably. */
 export function mergeLimits(
-  limits: NamedLimits,
+  limits: AnnouncedLimits,
   reports: readonly LimitReport[],
   nowMs: number,
 ): readonly string[] {
@@ -130,10 +130,10 @@
 
 /** Returns the limit that applies to a target now, or null if there is none. */
 export function limitOf(
-  limits: NamedLimits,
+  limits: AnnouncedLimits,
   target: string,
   nowMs: number,
-): (NamedLimit & { readonly perS: number }) | null {
+): (AnnouncedLimit & { readonly perS: number }) | null {
   const known = limits.get(target);
   if (known === undefined || known.perS === null) return null;
   return nowMs - known.receivedAtMs < LIMIT_TTL_MS ? { ...known, perS: known.perS } : null;
@@ -141,7 +141,7 @@
 
 /** Returns what to report to other gateways about the targets of a service. */
 export function limitReports(
-  limits: NamedLimits,
+  limits: AnnouncedLimits,
   service: string,
   nowMs: number,
 ): readonly LimitReport[] {
@@ -153,13 +153,13 @@
 }
 
 /** Returns the services with limits, or recent ends of limits, to report to other gateways. */
-export function servicesWithLimits(limits: NamedLimits, nowMs: number): readonly string[] {
+export function servicesWithLimits(limits: AnnouncedLimits, nowMs: number): readonly string[] {
   const reported = [...limits.values()].filter((known) => isReported(known, nowMs));
   return [...new Set(reported.map(({ service }) => service))];
 }
 
 /** Removes entries that are no longer reported. Returns the targets whose limit expired. */
-export function dropOldLimits(limits: NamedLimits, nowMs: number): readonly string[] {
+export function dropOldLimits(limits: AnnouncedLimits, nowMs: number): readonly string[] {
   return [...limits].flatMap(([target, known]) => {
     if (isReported(known, nowMs)) return [];
     limits.delete(target);
@@ -167,7 +167,7 @@
   });
 }
 
-function isReported({ perS, receivedAtMs, sinceMs }: NamedLimit, nowMs: number): boolean {
+function isReported({ perS, receivedAtMs, sinceMs }: AnnouncedLimit, nowMs: number): boolean {
   return perS === null ? nowMs - sinceMs < REPORT_END_MS : nowMs - receivedAtMs < LIMIT_TTL_MS;
 }
 
@@ -176,7 +176,7 @@
   return Math.abs(after - before) > before * MIN_CHANGE_RATIO;
 }
 
-function storeLimit(limits: NamedLimits, target: string, limit: NamedLimit): void {
+function storeLimit(limits: AnnouncedLimits, target: string, limit: AnnouncedLimit): void {
   // Reinserts the target at the end, so that the least recently updated target comes first.
   limits.delete(target);
   limits.set(target, limit);
--- a/packages/coordination/src/core/rate-limits/rate-limiter.ts
+++ b/packages/coordination/src/core/rate-limits/rate-limiter.ts
@@ -6,7 +6,7 @@
  */
 import type { Random } from '../random/random.js';
 import { type LimitShares, createLimitShares, usableShare } from './limit-shares.js';
-import { type NamedLimits, limitOf } from './named-limits.js';
+import { type AnnouncedLimits, limitOf } from './named-limits.js';
 import {
   type RefillRate,
   type TokenBucket,
@@ -42,7 +42,7 @@
    * Returns the delay in milliseconds after which a caller that none of these targets can serve
    * should retry. Each call reserves a retry slot.
    */
-  readonly askBackInMs: (targets: readonly string[]) => number;
+  readonly reserveRetryInMs: (targets: readonly string[]) => number;
 }
 
 /** Permits for the case that no target has a limit. */
@@ -51,16 +51,16 @@
   take: () => undefined,
   availableInMs: () => 0,
   isBinding: () => false,
-  askBackInMs: () => 0,
+  reserveRetryInMs: () => 0,
 };
 
 /** State of the rate limiter of one gateway. */
 export interface RateLimiter {
-  readonly limits: NamedLimits;
+  readonly limits: AnnouncedLimits;
   readonly shares: LimitShares;
   readonly buckets: Map<string, TokenBucket>;
   /** Time of the last retry slot given to a rejected caller, by service. */
-  readonly askedBackAtMs: Map<string, number>;
+  readonly lastRetrySlotAtMs: Map<string, number>;
   readonly random: Random;
 }
 
@@ -70,7 +70,7 @@
     limits: new Map(),
     shares: createLimitShares(nowMs),
     buckets: new Map(),
-    askedBackAtMs: new Map(),
+    lastRetrySlotAtMs: new Map(),
     random,
   };
 }
@@ -111,9 +111,9 @@
       if (rate !== null) takeToken(bucketOf(limiter, target, now), rate, now);
     },
     availableInMs,
-    askBackInMs: (targets) => {
+    reserveRetryInMs: (targets) => {
       const soonestMs = Math.min(MAX_RETRY_AFTER_MS, ...targets.map(availableInMs));
-      return askBackInMs(limiter, targets, soonestMs, nowMs());
+      return reserveRetrySlot(limiter, targets, soonestMs, nowMs());
     },
   };
 }
@@ -141,7 +141,7 @@
  * combined rate of the targets. Without this, rejected callers would all retry at the same moment,
  * and all but one of them would be rejected again.
  */
-export function askBackInMs(
+export function reserveRetrySlot(
   limiter: RateLimiter,
   targets: readonly string[],
   soonestMs: number,
@@ -151,9 +151,9 @@
   const service = known[0]?.service;
   if (service === undefined) return soonestMs;
   const perS = known.reduce((sum, limit) => sum + Math.max(MIN_PER_S, limit.perS), 0);
-  const nextSlotMs = (limiter.askedBackAtMs.get(service) ?? -Infinity) + MS_PER_S / perS;
+  const nextSlotMs = (limiter.lastRetrySlotAtMs.get(service) ?? -Infinity) + MS_PER_S / perS;
   const retryAtMs = Math.min(nowMs + MAX_RETRY_AFTER_MS, Math.max(nowMs + soonestMs, nextSlotMs));
-  limiter.askedBackAtMs.set(service, retryAtMs);
+  limiter.lastRetrySlotAtMs.set(service, retryAtMs);
   return retryAtMs - nowMs;
 }
 
--- a/packages/coordination/src/core/records/drive-agreement.ts
+++ b/packages/coordination/src/core/records/drive-agreement.ts
@@ -9,7 +9,7 @@
 import { settleLoneRun, sendRefusal } from './drive-refusals.js';
 import { beginRound } from './drive-rounds.js';
 import type { Turn } from './drive-support.js';
-import { LoneRunEnd, DrivePhase } from './drive-types.js';
+import { LoneRunEnd, RequestPhase } from './drive-types.js';
 import { RECORDS_UNREACHABLE } from './failures.js';
 import { HolderReplyKind, HolderCallKind } from './messages.js';
 import type { HolderReply } from './messages.js';
@@ -89,16 +89,16 @@
   const { machine, context } = turn;
   closeStream(turn);
   const agreeing = repliesWithAnswer(turn, (held) => held.attemptId === answer.attemptId);
-  const agreed = context.options.mayTellAnswer(agreeing, context.holders());
+  const agreed = context.options.mayDeliverAnswer(agreeing, context.holders());
   const committed = repliesWithAnswer(
     turn,
     (held) => held.attemptId === answer.attemptId && held.committedForMs !== null,
   );
-  if (agreed && context.options.mayTellAnswer(committed, context.holders())) {
+  if (agreed && context.options.mayDeliverAnswer(committed, context.holders())) {
     deliverAnswer(turn, answer);
     return;
   }
-  machine.phase = DrivePhase.Reconciling;
+  machine.phase = RequestPhase.Reconciling;
   machine.reconcileCount += 1;
   if (machine.reconcileCount > context.options.maxHolderWaits) {
     machine.pendingFailure = RECORDS_UNREACHABLE.of({ service: machine.request.service });
--- a/packages/coordination/src/core/records/drive-attempts.ts
+++ b/packages/coordination/src/core/records/drive-attempts.ts
@@ -18,10 +18,10 @@
 import { beginRound } from './drive-rounds.js';
 import { emit, nextId, remainingMs, setTimer } from './drive-support.js';
 import type { Turn } from './drive-support.js';
-import { DriveEffectKind } from './drive-messages.js';
-import { DrivePhase, DriveTimer, LoneRunEnd, Suspicion } from './drive-types.js';
+import { RequestEffectKind } from './drive-messages.js';
+import { RequestPhase, RequestTimer, LoneRunEnd, Suspicion } from './drive-types.js';
 import type { Place } from './place.js';
-import type { RequestDrive } from './drive-types.js';
+import type { RequestMachine } from './drive-types.js';
 import { DEADLINE_PASSED, OUTCOME_UNKNOWN, TRIES_SPENT } from './failures.js';
 import { HolderCallKind } from './messages.js';
 import { currentAttempt } from './record.js';
@@ -91,9 +91,9 @@
 
 /** Starts the wait before the next attempt is prepared. */
 export function backOff(turn: Turn, afterMs: number): void {
-  turn.machine.phase = DrivePhase.BackingOff;
+  turn.machine.phase = RequestPhase.BackingOff;
   turn.machine.round = null;
-  setTimer(turn, DriveTimer.BackOff, afterMs);
+  setTimer(turn, RequestTimer.BackOff, afterMs);
 }
 
 /**
@@ -111,14 +111,14 @@
   machine.round = null;
   machine.askId = nextId(machine);
   if (needsLoneRun(turn)) {
-    machine.phase = DrivePhase.AwaitingLoneRun;
+    machine.phase = RequestPhase.AwaitingLoneRun;
     const attemptId = attemptIdOf(machine);
-    turn.out.push({ kind: DriveEffectKind.AskLoneRun, askId: machine.askId, attemptId });
+    turn.out.push({ kind: RequestEffectKind.AskLoneRun, askId: machine.askId, attemptId });
     return;
   }
-  machine.phase = DrivePhase.AwaitingAdmission;
+  machine.phase = RequestPhase.AwaitingAdmission;
   turn.out.push({
-    kind: DriveEffectKind.AskAdmission,
+    kind: RequestEffectKind.AskAdmission,
     askId: machine.askId,
     avoidTargets: machine.avoidTargets,
   });
@@ -130,7 +130,7 @@
   return machine.lossCount >= SUSPECT_AFTER_LOSSES || context.suspicion() === Suspicion.Suspect;
 }
 
-function attemptIdOf(machine: RequestDrive): string {
+function attemptIdOf(machine: RequestMachine): string {
   return `${machine.id}/${String(machine.askId)}`;
 }
 
@@ -139,10 +139,10 @@
   const { machine } = turn;
   machine.place = place;
   machine.attempt = makeAttempt(turn, place, alone);
-  machine.phase = DrivePhase.OpeningSession;
+  machine.phase = RequestPhase.OpeningSession;
   const verify = !machine.request.repeatable;
   const { askId } = machine;
-  turn.out.push({ kind: DriveEffectKind.OpenSession, askId, sidecar: place.sidecar, verify });
+  turn.out.push({ kind: RequestEffectKind.OpenSession, askId, sidecar: place.sidecar, verify });
 }
 
 function makeAttempt(turn: Turn, place: Place, alone: boolean): Attempt {
@@ -174,13 +174,13 @@
     noteAttempt(turn);
     return;
   }
-  machine.phase = DrivePhase.Claiming;
+  machine.phase = RequestPhase.Claiming;
   const { askId, attempt } = machine;
   const current = currentAttempt(machine.known);
   const mayReplace =
     current !== null && context.options.mayRunAgain(false, !machine.neverRan.has(current.id));
   const replacesId = mayReplace ? current.id : null;
-  turn.out.push({ kind: DriveEffectKind.TakeClaim, askId, attempt, replacesId });
+  turn.out.push({ kind: RequestEffectKind.TakeClaim, askId, attempt, replacesId });
 }
 
 /**
@@ -197,7 +197,7 @@
 export function noteAttempt(turn: Turn): void {
   const { machine } = turn;
   if (machine.attempt === null) return;
-  machine.phase = DrivePhase.Noting;
+  machine.phase = RequestPhase.Noting;
   const previousId = currentAttempt(machine.known)?.id ?? null;
   const { attempt, known } = machine;
   beginRound(turn, { kind: HolderCallKind.Note, record: known, attempt, previousId });
@@ -219,7 +219,7 @@
   machine.textAttemptId = attempt.id;
   openConnection(turn);
   turn.out.push({
-    kind: DriveEffectKind.Dispatch,
+    kind: RequestEffectKind.Dispatch,
     connectionId: machine.connectionId,
     attempt,
     record: known,
@@ -252,14 +252,20 @@
   machine.attempt = attempt;
   openConnection(turn);
   const { connectionId, known } = machine;
-  turn.out.push({ kind: DriveEffectKind.Attach, connectionId, attempt, record: known, fromIndex });
+  turn.out.push({
+    kind: RequestEffectKind.Attach,
+    connectionId,
+    attempt,
+    record: known,
+    fromIndex,
+  });
 }
 
 function openConnection(turn: Turn): void {
   const { machine } = turn;
   closeStream(turn);
   machine.round = null;
-  machine.phase = DrivePhase.Streaming;
+  machine.phase = RequestPhase.Streaming;
   machine.isOpen = false;
   machine.connectionId = nextId(machine);
 }
--- a/packages/coordination/src/core/records/drive-delivery.ts
+++ b/packages/coordination/src/core/records/drive-delivery.ts
@@ -5,10 +5,10 @@
  */
 import { EventKind } from '../events/event.js';
 import { RunState } from '../model/outcome.js';
-import { DriveEffectKind } from './drive-messages.js';
-import { DrivePhase, DriveTimer } from './drive-types.js';
-import type { FitsAnswer, MatchesResume, RequestDrive, ResumePoint } from './drive-types.js';
-import { clearTimer, emit, finishDrive } from './drive-support.js';
+import { RequestEffectKind } from './drive-messages.js';
+import { RequestPhase, RequestTimer } from './drive-types.js';
+import type { FitsAnswer, MatchesResume, RequestMachine, ResumePoint } from './drive-types.js';
+import { clearTimer, emit, finishRequest } from './drive-support.js';
 import type { Turn } from './drive-support.js';
 import { ANSWER_DIVERGED } from './failures.js';
 import type { Answer, AnswerEnding } from './record.js';
@@ -74,7 +74,7 @@
 export function deliverAnswer(turn: Turn, answer: Answer): void {
   discardUnsentTokens(turn);
   const fits = appendTokens(turn, 0, answer.tokens);
-  if (turn.machine.phase === DrivePhase.Done) return;
+  if (turn.machine.phase === RequestPhase.Done) return;
   if (fits && turn.machine.tokens.length === answer.tokens.length) deliverEnd(turn, answer.ending);
   else refuseDivergedText(turn);
 }
@@ -87,12 +87,12 @@
     return;
   }
   const eventId = eventIdOf(machine.tokens.length, machine.hashes.at(-1) ?? EMPTY_TEXT_HASH);
-  if (machine.callerPresent) turn.out.push({ kind: DriveEffectKind.TellAnswer, ending, eventId });
+  if (machine.callerPresent) turn.out.push({ kind: RequestEffectKind.TellAnswer, ending, eventId });
   emit(turn, EventKind.RequestAnswered, 'the answer is whole and recorded', {
     figures: { tokens: machine.tokens.length, attempts: machine.known.attempts.length },
   });
   closeStream(turn);
-  finishDrive(turn);
+  finishRequest(turn);
 }
 
 /** Discards tokens not yet sent to the caller, so tokens of another attempt can replace them. */
@@ -112,7 +112,7 @@
   });
   if (machine.callerPresent) {
     turn.out.push({
-      kind: DriveEffectKind.TellRefusal,
+      kind: RequestEffectKind.TellRefusal,
       failure,
       runState: RunState.Unknown,
       retryAfterMs: null,
@@ -120,15 +120,15 @@
   }
   emit(turn, EventKind.RequestFailed, 'the text differs from what the caller has read');
   closeStream(turn);
-  finishDrive(turn);
+  finishRequest(turn);
 }
 
 /** Closes the connection to the current stream, which keeps running at its sidecar. */
 export function closeStream(turn: Turn): void {
   const { machine } = turn;
-  clearTimer(turn, DriveTimer.Reattach);
+  clearTimer(turn, RequestTimer.Reattach);
   if (machine.connectionId === 0) return;
-  turn.out.push({ kind: DriveEffectKind.CloseStream, connectionId: machine.connectionId });
+  turn.out.push({ kind: RequestEffectKind.CloseStream, connectionId: machine.connectionId });
   machine.connectionId = 0;
 }
 
@@ -146,7 +146,7 @@
     machine.sentCount,
     machine.hashes[machine.sentCount] ?? EMPTY_TEXT_HASH,
   );
-  turn.out.push({ kind: DriveEffectKind.TellTokens, index, tokens, eventId });
+  turn.out.push({ kind: RequestEffectKind.TellTokens, index, tokens, eventId });
 }
 
 function resumePointMatches(turn: Turn): boolean {
@@ -156,6 +156,6 @@
   return hash === undefined || turn.context.options.matchesResume(resume, hash);
 }
 
-function resumeIndex(machine: RequestDrive): number {
+function resumeIndex(machine: RequestMachine): number {
   return machine.request.resume?.index ?? 0;
 }
--- a/packages/coordination/src/core/records/drive-messages.ts
+++ b/packages/coordination/src/core/records/drive-messages.ts
@@ -4,7 +4,7 @@
 import type { UnstampedEvent } from '../events/event.js';
 import type { Failure } from '../failures/failure.js';
 import type { RunState } from '../model/outcome.js';
-import type { ClaimOutcome, DriveTimer, LoneRunEnd, LoneRunOutcome } from './drive-types.js';
+import type { ClaimOutcome, RequestTimer, LoneRunEnd, LoneRunOutcome } from './drive-types.js';
 import type { Place } from './place.js';
 import type {
   CancelOutcome,
@@ -16,7 +16,7 @@
 import type { AnswerEnding, Attempt, RequestRecord } from './record.js';
 
 /** Kinds of events of a request machine. */
-export enum DriveEventKind {
+export enum RequestEventKind {
   CallerArrived = 'caller-arrived',
   CallerGone = 'caller-gone',
   HolderReplied = 'holder-replied',
@@ -37,31 +37,31 @@
 }
 
 /** Input of a request machine. */
-export type DriveEvent =
-  | { readonly kind: DriveEventKind.CallerArrived }
-  | { readonly kind: DriveEventKind.CallerGone }
+export type RequestEvent =
+  | { readonly kind: RequestEventKind.CallerArrived }
+  | { readonly kind: RequestEventKind.CallerGone }
   | {
-      readonly kind: DriveEventKind.HolderReplied;
+      readonly kind: RequestEventKind.HolderReplied;
       readonly roundId: number;
       readonly from: string;
       readonly reply: HolderReply;
     }
   | {
       /** A holder could not be reached, or its reply is known to be lost. */
-      readonly kind: DriveEventKind.HolderFailed;
+      readonly kind: RequestEventKind.HolderFailed;
       readonly roundId: number;
       readonly from: string;
     }
-  | { readonly kind: DriveEventKind.MembersChanged }
-  | { readonly kind: DriveEventKind.Admitted; readonly askId: number; readonly place: Place }
+  | { readonly kind: RequestEventKind.MembersChanged }
+  | { readonly kind: RequestEventKind.Admitted; readonly askId: number; readonly place: Place }
   | {
-      readonly kind: DriveEventKind.AdmissionRefused;
+      readonly kind: RequestEventKind.AdmissionRefused;
       readonly askId: number;
       readonly reason: string;
       readonly retryAfterMs: number;
     }
   | {
-      readonly kind: DriveEventKind.LoneRunReplied;
+      readonly kind: RequestEventKind.LoneRunReplied;
       readonly askId: number;
       readonly outcome: LoneRunOutcome;
       /** Set if granted: where the attempt may run without any other request. */
@@ -72,14 +72,14 @@
       readonly retryAfterMs: number;
     }
   | {
-      readonly kind: DriveEventKind.SessionOpened;
+      readonly kind: RequestEventKind.SessionOpened;
       readonly askId: number;
       readonly sessionId: string;
       readonly sequence: number;
     }
-  | { readonly kind: DriveEventKind.SessionFailed; readonly askId: number }
+  | { readonly kind: RequestEventKind.SessionFailed; readonly askId: number }
   | {
-      readonly kind: DriveEventKind.ClaimReplied;
+      readonly kind: RequestEventKind.ClaimReplied;
       readonly askId: number;
       readonly outcome: ClaimOutcome;
       /**
@@ -88,37 +88,37 @@
       readonly holder: { readonly attempt: Attempt; readonly bodyHash: string } | null;
       readonly retryAfterMs: number;
     }
-  | { readonly kind: DriveEventKind.StreamOpened; readonly connectionId: number }
+  | { readonly kind: RequestEventKind.StreamOpened; readonly connectionId: number }
   | {
-      readonly kind: DriveEventKind.StreamTokens;
+      readonly kind: RequestEventKind.StreamTokens;
       readonly connectionId: number;
       /** Index of the first of `tokens` in the complete answer. */
       readonly index: number;
       readonly tokens: readonly string[];
     }
   | {
-      readonly kind: DriveEventKind.StreamEnded;
+      readonly kind: RequestEventKind.StreamEnded;
       readonly connectionId: number;
       readonly end: StreamEnd;
     }
   | {
-      readonly kind: DriveEventKind.StreamFailed;
+      readonly kind: RequestEventKind.StreamFailed;
       readonly connectionId: number;
       readonly failure: StreamFailure;
     }
   | {
-      readonly kind: DriveEventKind.CancelReplied;
+      readonly kind: RequestEventKind.CancelReplied;
       readonly attemptId: string;
       readonly outcome: CancelOutcome;
     }
   | {
-      readonly kind: DriveEventKind.TimerFired;
-      readonly timer: DriveTimer;
+      readonly kind: RequestEventKind.TimerFired;
+      readonly timer: RequestTimer;
       readonly timerId: number;
     };
 
 /** Kinds of effects of a request machine. */
-export enum DriveEffectKind {
+export enum RequestEffectKind {
   CallHolder = 'call-holder',
   AskAdmission = 'ask-admission',
   AskLoneRun = 'ask-lone-run',
@@ -140,48 +140,48 @@
 }
 
 /** Side effect that the caller of a request machine must execute. */
-export type DriveEffect =
+export type RequestEffect =
   | {
-      readonly kind: DriveEffectKind.CallHolder;
+      readonly kind: RequestEffectKind.CallHolder;
       readonly to: string;
       /** Returned in `HolderReplied` and `HolderFailed`. */
       readonly roundId: number;
       readonly call: HolderCall;
     }
   | {
-      readonly kind: DriveEffectKind.AskAdmission;
+      readonly kind: RequestEffectKind.AskAdmission;
       readonly askId: number;
       /** Targets that failed this request; they are avoided if others can serve it. */
       readonly avoidTargets: readonly string[];
     }
   | {
-      readonly kind: DriveEffectKind.AskLoneRun;
+      readonly kind: RequestEffectKind.AskLoneRun;
       readonly askId: number;
       readonly attemptId: string;
     }
   | {
-      readonly kind: DriveEffectKind.SettleLoneRun;
+      readonly kind: RequestEffectKind.SettleLoneRun;
       readonly attemptId: string;
       readonly end: LoneRunEnd;
     }
   | {
-      readonly kind: DriveEffectKind.OpenSession;
+      readonly kind: RequestEffectKind.OpenSession;
       readonly askId: number;
       readonly sidecar: string;
       /** Whether to contact the sidecar even if a session is already known. */
       readonly verify: boolean;
     }
-  | { readonly kind: DriveEffectKind.NoteCrash; readonly attemptId: string }
-  | { readonly kind: DriveEffectKind.ForgetSession; readonly sidecar: string }
+  | { readonly kind: RequestEffectKind.NoteCrash; readonly attemptId: string }
+  | { readonly kind: RequestEffectKind.ForgetSession; readonly sidecar: string }
   | {
-      readonly kind: DriveEffectKind.TakeClaim;
+      readonly kind: RequestEffectKind.TakeClaim;
       readonly askId: number;
       readonly attempt: Attempt;
       /** Attempt that holds the claim and is known to never run, or null. */
       readonly replacesId: string | null;
     }
   | {
-      readonly kind: DriveEffectKind.Dispatch;
+      readonly kind: RequestEffectKind.Dispatch;
       readonly connectionId: number;
       readonly attempt: Attempt;
       readonly record: RequestRecord;
@@ -189,36 +189,36 @@
       readonly remainingMs: number;
     }
   | {
-      readonly kind: DriveEffectKind.Attach;
+      readonly kind: RequestEffectKind.Attach;
       readonly connectionId: number;
       readonly attempt: Attempt;
       readonly record: RequestRecord;
       readonly fromIndex: number;
     }
-  | { readonly kind: DriveEffectKind.CloseStream; readonly connectionId: number }
-  | { readonly kind: DriveEffectKind.CancelAttempt; readonly attempt: Attempt }
+  | { readonly kind: RequestEffectKind.CloseStream; readonly connectionId: number }
+  | { readonly kind: RequestEffectKind.CancelAttempt; readonly attempt: Attempt }
   | {
-      readonly kind: DriveEffectKind.TellTokens;
+      readonly kind: RequestEffectKind.TellTokens;
       readonly index: number;
       readonly tokens: readonly string[];
       /** Formatted as `<number of tokens so far>-<hash of them>`. */
       readonly eventId: string;
     }
   | {
-      readonly kind: DriveEffectKind.TellAnswer;
+      readonly kind: RequestEffectKind.TellAnswer;
       readonly ending: AnswerEnding;
       readonly eventId: string;
     }
   | {
-      readonly kind: DriveEffectKind.TellRefusal;
+      readonly kind: RequestEffectKind.TellRefusal;
       readonly failure: Failure;
       readonly runState: RunState;
       readonly retryAfterMs: number | null;
     }
   | {
-      readonly kind: DriveEffectKind.SetTimer;
-      readonly timer: DriveTimer;
+      readonly kind: RequestEffectKind.SetTimer;
+      readonly timer: RequestTimer;
       readonly timerId: number;
       readonly afterMs: number;
     }
-  | { readonly kind: DriveEffectKind.Emit; readonly event: UnstampedEvent };
+  | { readonly kind: RequestEffectKind.Emit; readonly event: UnstampedEvent };
--- a/packages/coordination/src/core/records/drive-refusals.ts
+++ b/packages/coordination/src/core/records/drive-refusals.ts
@@ -8,10 +8,10 @@
 import { RunState } from '../model/outcome.js';
 import { closeStream } from './drive-delivery.js';
 import { beginRound, roundFigures } from './drive-rounds.js';
-import { emit, finishDrive } from './drive-support.js';
+import { emit, finishRequest } from './drive-support.js';
 import type { Turn } from './drive-support.js';
-import { DriveEffectKind } from './drive-messages.js';
-import { DrivePhase, LoneRunEnd } from './drive-types.js';
+import { RequestEffectKind } from './drive-messages.js';
+import { RequestPhase, LoneRunEnd } from './drive-types.js';
 import { POISONED_REQUEST } from './failures.js';
 import { HolderCallKind } from './messages.js';
 import { currentAttempt } from './record.js';
@@ -28,7 +28,7 @@
     sendRefusal(turn, runStateOf(turn));
     return;
   }
-  machine.phase = DrivePhase.Releasing;
+  machine.phase = RequestPhase.Releasing;
   const { keyText, creationId } = machine.known;
   beginRound(turn, { kind: HolderCallKind.Release, keyText, creationId });
 }
@@ -40,7 +40,7 @@
   const round = roundFigures(turn);
   if (failure !== null && machine.callerPresent) {
     const retryAfterMs = machine.pendingRetryAfterMs;
-    turn.out.push({ kind: DriveEffectKind.TellRefusal, failure, runState, retryAfterMs });
+    turn.out.push({ kind: RequestEffectKind.TellRefusal, failure, runState, retryAfterMs });
   }
   const wasAccepted = machine.known.attempts.length > 0;
   const kind = wasAccepted ? EventKind.RequestFailed : EventKind.RequestRefused;
@@ -48,7 +48,7 @@
     figures: { runState, ...round },
   });
   closeStream(turn);
-  finishDrive(turn);
+  finishRequest(turn);
 }
 
 /** Returns whether any known attempt may have run. */
@@ -74,7 +74,7 @@
   const { machine } = turn;
   const failure = POISONED_REQUEST.of({ service: machine.request.service, crashes });
   machine.pendingFailure = failure;
-  machine.phase = DrivePhase.Convicting;
+  machine.phase = RequestPhase.Convicting;
   emit(turn, EventKind.RequestConvicted, failure.message, { figures: { crashes } });
   beginRound(turn, { kind: HolderCallKind.Finish, record: machine.known, answer: null, failure });
 }
@@ -84,16 +84,17 @@
   const { machine } = turn;
   const runState = anyAttemptMayHaveRun(turn) ? RunState.Unknown : runStateOf(turn);
   if (machine.callerPresent) {
-    turn.out.push({ kind: DriveEffectKind.TellRefusal, failure, runState, retryAfterMs: null });
+    turn.out.push({ kind: RequestEffectKind.TellRefusal, failure, runState, retryAfterMs: null });
   }
   closeStream(turn);
-  finishDrive(turn);
+  finishRequest(turn);
 }
 
 /** Abandons an attempt that was prepared but not dispatched, and therefore never runs. */
 export function abandonPreparedAttempt(turn: Turn): void {
   const { machine } = turn;
-  const isPrepared = machine.phase === DrivePhase.Claiming || machine.phase === DrivePhase.Noting;
+  const isPrepared =
+    machine.phase === RequestPhase.Claiming || machine.phase === RequestPhase.Noting;
   if (!isPrepared || machine.attempt === null) return;
   machine.neverRan.add(machine.attempt.id);
   machine.over.add(machine.attempt.id);
@@ -103,7 +104,7 @@
 /** Reports the end of a lone run of this machine to the poison ledger. */
 export function settleLoneRun(turn: Turn, attempt: Attempt, end: LoneRunEnd): void {
   if (!attempt.alone || !isOwnAttempt(turn, attempt)) return;
-  turn.out.push({ kind: DriveEffectKind.SettleLoneRun, attemptId: attempt.id, end });
+  turn.out.push({ kind: RequestEffectKind.SettleLoneRun, attemptId: attempt.id, end });
 }
 
 /** Returns whether this machine created the attempt. */
--- a/packages/coordination/src/core/records/drive-rounds.ts
+++ b/packages/coordination/src/core/records/drive-rounds.ts
@@ -3,8 +3,8 @@
  * of them have replied. Calls are idempotent, so a holder that has not replied can be called again.
  * When the members change, the round continues with the new holders.
  */
-import { DriveEffectKind } from './drive-messages.js';
-import { DriveTimer } from './drive-types.js';
+import { RequestEffectKind } from './drive-messages.js';
+import { RequestTimer } from './drive-types.js';
 import { nextId, setTimer } from './drive-support.js';
 import type { Turn } from './drive-support.js';
 import { HolderCallKind, HolderReplyKind } from './messages.js';
@@ -22,7 +22,7 @@
   };
   turn.machine.roundsWaited = 0;
   callMissingMembers(turn);
-  setTimer(turn, DriveTimer.Holders, turn.context.options.holderWaitMs);
+  setTimer(turn, RequestTimer.Holders, turn.context.options.holderWaitMs);
 }
 
 /**
@@ -38,7 +38,7 @@
   for (const to of roundMembers(turn)) {
     if (round.replies.has(to) || round.pending.has(to)) continue;
     round.pending.add(to);
-    turn.out.push({ kind: DriveEffectKind.CallHolder, to, roundId: round.id, call: round.call });
+    turn.out.push({ kind: RequestEffectKind.CallHolder, to, roundId: round.id, call: round.call });
   }
 }
 
@@ -53,7 +53,7 @@
   if (machine.round === null || machine.roundsWaited >= maxHolderWaits) return false;
   if (machine.roundsWaited % waitsPerHolderRepeat === 0) machine.round.pending.clear();
   callMissingMembers(turn);
-  setTimer(turn, DriveTimer.Holders, holderWaitMs);
+  setTimer(turn, RequestTimer.Holders, holderWaitMs);
   return true;
 }
 
--- a/packages/coordination/src/core/records/drive-streams.ts
+++ b/packages/coordination/src/core/records/drive-streams.ts
@@ -7,9 +7,9 @@
 import { isOwnAttempt, refuse, settleLoneRun } from './drive-refusals.js';
 import { emit, setTimer } from './drive-support.js';
 import type { Turn } from './drive-support.js';
-import { DriveEffectKind, DriveEventKind } from './drive-messages.js';
-import { DrivePhase, DriveTimer, LoneRunEnd } from './drive-types.js';
-import type { DriveEvent } from './drive-messages.js';
+import { RequestEffectKind, RequestEventKind } from './drive-messages.js';
+import { RequestPhase, RequestTimer, LoneRunEnd } from './drive-types.js';
+import type { RequestEvent } from './drive-messages.js';
 import { DEADLINE_PASSED, KEY_CONFLICT, OUTCOME_UNKNOWN } from './failures.js';
 import { CancelOutcome, StreamFailureReason } from './messages.js';
 import type { StreamEnd, StreamFailure } from './messages.js';
@@ -17,13 +17,13 @@
 
 /** Events of the stream of an attempt. */
 export type StreamEvent = Extract<
-  DriveEvent,
+  RequestEvent,
   {
     kind:
-      | DriveEventKind.StreamOpened
-      | DriveEventKind.StreamTokens
-      | DriveEventKind.StreamEnded
-      | DriveEventKind.StreamFailed;
+      | RequestEventKind.StreamOpened
+      | RequestEventKind.StreamTokens
+      | RequestEventKind.StreamEnded
+      | RequestEventKind.StreamFailed;
   }
 >;
 
@@ -33,19 +33,20 @@
  */
 export function onStreamEvent(turn: Turn, event: StreamEvent): void {
   const { machine } = turn;
-  if (machine.phase !== DrivePhase.Streaming || machine.connectionId !== event.connectionId) return;
+  if (machine.phase !== RequestPhase.Streaming || machine.connectionId !== event.connectionId)
+    return;
   switch (event.kind) {
-    case DriveEventKind.StreamOpened:
+    case RequestEventKind.StreamOpened:
       machine.isOpen = true;
       machine.reattachCount = 0;
       return;
-    case DriveEventKind.StreamTokens:
+    case RequestEventKind.StreamTokens:
       onTokens(turn, event.index, event.tokens);
       return;
-    case DriveEventKind.StreamEnded:
+    case RequestEventKind.StreamEnded:
       onEnd(turn, event.end);
       return;
-    case DriveEventKind.StreamFailed:
+    case RequestEventKind.StreamFailed:
       onFailure(turn, event.failure);
   }
 }
@@ -79,9 +80,9 @@
 /** Schedules a reattach after the last received token because a message of the stream was lost. */
 function scheduleReattach(turn: Turn): void {
   const { machine } = turn;
-  turn.out.push({ kind: DriveEffectKind.CloseStream, connectionId: machine.connectionId });
+  turn.out.push({ kind: RequestEffectKind.CloseStream, connectionId: machine.connectionId });
   machine.connectionId = 0;
-  setTimer(turn, DriveTimer.Reattach, turn.context.options.reattachAfterMs);
+  setTimer(turn, RequestTimer.Reattach, turn.context.options.reattachAfterMs);
 }
 
 function onFailure(turn: Turn, failure: StreamFailure): void {
@@ -125,7 +126,7 @@
   const { machine, context } = turn;
   machine.connectionId = 0;
   if (machine.attempt !== null && context.isLive(machine.attempt.sidecar)) {
-    setTimer(turn, DriveTimer.Reattach, context.options.reattachAfterMs);
+    setTimer(turn, RequestTimer.Reattach, context.options.reattachAfterMs);
     return;
   }
   onSidecarLost(turn);
@@ -140,7 +141,7 @@
 /** Attaches to the attempt again when the timer fires. */
 export function reattach(turn: Turn): void {
   const { machine, context } = turn;
-  if (machine.phase !== DrivePhase.Streaming || machine.attempt === null) return;
+  if (machine.phase !== RequestPhase.Streaming || machine.attempt === null) return;
   if (context.isLive(machine.attempt.sidecar)) attachTo(turn, machine.attempt);
   else onSidecarLost(turn);
 }
@@ -157,7 +158,7 @@
   const mayStillArrive = !isOwnAttempt(turn, machine.attempt);
   if (mayStillArrive && machine.reattachCount <= context.options.maxReattachTries) {
     machine.connectionId = 0;
-    setTimer(turn, DriveTimer.Reattach, context.options.reattachAfterMs);
+    setTimer(turn, RequestTimer.Reattach, context.options.reattachAfterMs);
     return;
   }
   cancelAttempt(turn);
@@ -167,16 +168,16 @@
 export function cancelAttempt(turn: Turn): void {
   const { machine } = turn;
   if (machine.attempt === null) return;
-  machine.phase = DrivePhase.Cancelling;
-  turn.out.push({ kind: DriveEffectKind.CancelAttempt, attempt: machine.attempt });
-  setTimer(turn, DriveTimer.Cancel, turn.context.options.cancelTimeoutMs);
+  machine.phase = RequestPhase.Cancelling;
+  turn.out.push({ kind: RequestEffectKind.CancelAttempt, attempt: machine.attempt });
+  setTimer(turn, RequestTimer.Cancel, turn.context.options.cancelTimeoutMs);
 }
 
 /** Handles the sidecar's reply to the cancellation, or its timeout. */
 export function onCancelOutcome(turn: Turn, outcome: CancelOutcome): void {
   const { machine, context } = turn;
-  if (machine.phase !== DrivePhase.Cancelling || machine.attempt === null) return;
-  machine.timerIds.delete(DriveTimer.Cancel);
+  if (machine.phase !== RequestPhase.Cancelling || machine.attempt === null) return;
+  machine.timerIds.delete(RequestTimer.Cancel);
   if (outcome === CancelOutcome.NeverRuns) {
     machine.neverRan.add(machine.attempt.id);
     machine.over.add(machine.attempt.id);
@@ -224,7 +225,7 @@
 
 function forgetSession(turn: Turn): void {
   const sidecar = turn.machine.attempt?.sidecar;
-  if (sidecar !== undefined) turn.out.push({ kind: DriveEffectKind.ForgetSession, sidecar });
+  if (sidecar !== undefined) turn.out.push({ kind: RequestEffectKind.ForgetSession, sidecar });
 }
 
 function onCrash(turn: Turn): void {
@@ -234,7 +235,7 @@
   machine.isSuspect = true;
   const crashedAttemptIds = [...new Set([...machine.known.crashedAttemptIds, attempt.id])].sort();
   machine.known = { ...machine.known, crashedAttemptIds };
-  turn.out.push({ kind: DriveEffectKind.NoteCrash, attemptId: attempt.id });
+  turn.out.push({ kind: RequestEffectKind.NoteCrash, attemptId: attempt.id });
   emit(turn, EventKind.RequestSuspected, 'its engine crashed while it ran', {
     target: attempt.target,
     figures: { crashes: crashedAttemptIds.length },
--- a/packages/coordination/src/core/records/drive-support.ts
+++ b/packages/coordination/src/core/records/drive-support.ts
@@ -3,33 +3,33 @@
  * the handling of one event.
  */
 import type { EventKind, UnstampedEvent } from '../events/event.js';
-import { DriveEffectKind } from './drive-messages.js';
-import { DrivePhase } from './drive-types.js';
-import type { DriveEffect } from './drive-messages.js';
-import type { DriveContext, DriveTimer, RequestDrive } from './drive-types.js';
+import { RequestEffectKind } from './drive-messages.js';
+import { RequestPhase } from './drive-types.js';
+import type { RequestEffect } from './drive-messages.js';
+import type { RequestContext, RequestTimer, RequestMachine } from './drive-types.js';
 
 /** State, inputs and collected effects while a machine handles one event. */
 export interface Turn {
-  readonly machine: RequestDrive;
-  readonly context: DriveContext;
-  readonly out: DriveEffect[];
+  readonly machine: RequestMachine;
+  readonly context: RequestContext;
+  readonly out: RequestEffect[];
 }
 
 /** Returns an id that this machine has not used before. */
-export function nextId(machine: RequestDrive): number {
+export function nextId(machine: RequestMachine): number {
   machine.lastId += 1;
   return machine.lastId;
 }
 
 /** Sets a timer, replacing a pending one of the same kind. */
-export function setTimer(turn: Turn, timer: DriveTimer, afterMs: number): void {
+export function setTimer(turn: Turn, timer: RequestTimer, afterMs: number): void {
   const timerId = nextId(turn.machine);
   turn.machine.timerIds.set(timer, timerId);
-  turn.out.push({ kind: DriveEffectKind.SetTimer, timer, timerId, afterMs });
+  turn.out.push({ kind: RequestEffectKind.SetTimer, timer, timerId, afterMs });
 }
 
 /** Clears a timer: a pending one is ignored when it fires. */
-export function clearTimer(turn: Turn, timer: DriveTimer): void {
+export function clearTimer(turn: Turn, timer: RequestTimer): void {
   turn.machine.timerIds.delete(timer);
 }
 
@@ -49,7 +49,7 @@
     service: request.service,
     ...details,
   };
-  turn.out.push({ kind: DriveEffectKind.Emit, event });
+  turn.out.push({ kind: RequestEffectKind.Emit, event });
 }
 
 /** Returns the time left until the deadline, at least 0. */
@@ -58,8 +58,8 @@
 }
 
 /** Ends the machine: later events have no effect. */
-export function finishDrive(turn: Turn): void {
-  turn.machine.phase = DrivePhase.Done;
+export function finishRequest(turn: Turn): void {
+  turn.machine.phase = RequestPhase.Done;
   turn.machine.timerIds.clear();
   turn.machine.round = null;
 }
--- a/packages/coordination/src/core/records/drive-timers.ts
+++ b/packages/coordination/src/core/records/drive-timers.ts
@@ -8,28 +8,28 @@
 import { continueRound } from './drive-rounds.js';
 import { onCancelOutcome, onDeadlineInStream, reattach } from './drive-streams.js';
 import type { Turn } from './drive-support.js';
-import { DrivePhase, DriveTimer } from './drive-types.js';
+import { RequestPhase, RequestTimer } from './drive-types.js';
 import { DEADLINE_PASSED, RECORDS_UNREACHABLE } from './failures.js';
 import { CancelOutcome } from './messages.js';
 
 /** Handles a timer that fired. */
-export function onTimer(turn: Turn, timer: DriveTimer): void {
+export function onTimer(turn: Turn, timer: RequestTimer): void {
   const { machine } = turn;
   machine.timerIds.delete(timer);
   switch (timer) {
-    case DriveTimer.Holders:
+    case RequestTimer.Holders:
       onHoldersTimeout(turn);
       return;
-    case DriveTimer.Reattach:
+    case RequestTimer.Reattach:
       reattach(turn);
       return;
-    case DriveTimer.BackOff:
-      if (machine.phase === DrivePhase.BackingOff) prepareAttempt(turn);
+    case RequestTimer.BackOff:
+      if (machine.phase === RequestPhase.BackingOff) prepareAttempt(turn);
       return;
-    case DriveTimer.Cancel:
+    case RequestTimer.Cancel:
       onCancelOutcome(turn, CancelOutcome.Unknown);
       return;
-    case DriveTimer.Deadline:
+    case RequestTimer.Deadline:
       onDeadline(turn);
   }
 }
@@ -40,7 +40,7 @@
   const { service } = machine.request;
   machine.pendingFailure ??= RECORDS_UNREACHABLE.of({ service });
   abandonPreparedAttempt(turn);
-  const isAnswered = machine.phase === DrivePhase.Reconciling;
+  const isAnswered = machine.phase === RequestPhase.Reconciling;
   machine.pendingRetryAfterMs = context.options.retryAfterMs;
   sendRefusal(turn, isAnswered ? RunState.Ran : RunState.Unknown);
 }
@@ -49,14 +49,14 @@
   const { machine, context } = turn;
   const { service } = machine.request;
   switch (machine.phase) {
-    case DrivePhase.Streaming:
+    case RequestPhase.Streaming:
       onDeadlineInStream(turn);
       return;
-    case DrivePhase.Cancelling:
-    case DrivePhase.Reconciling:
-    case DrivePhase.Convicting:
-    case DrivePhase.Releasing:
-    case DrivePhase.Done:
+    case RequestPhase.Cancelling:
+    case RequestPhase.Reconciling:
+    case RequestPhase.Convicting:
+    case RequestPhase.Releasing:
+    case RequestPhase.Done:
       return;
     default:
       abandonPreparedAttempt(turn);
--- a/packages/coordination/src/core/records/drive-types.ts
+++ b/packages/coordination/src/core/records/drive-types.ts
@@ -21,7 +21,7 @@
 }
 
 /** The request of a caller. */
-export interface DriveRequest {
+export interface CallerRequest {
   readonly keyText: string;
   readonly workspace: string;
   readonly service: string;
@@ -33,7 +33,7 @@
 }
 
 /** Phases of a request machine. */
-export enum DrivePhase {
+export enum RequestPhase {
   Creating = 'creating',
   AwaitingAdmission = 'awaiting-admission',
   AwaitingLoneRun = 'awaiting-lone-run',
@@ -53,7 +53,7 @@
 }
 
 /** Timers of a machine. Setting a timer replaces the pending one of the same kind. */
-export enum DriveTimer {
+export enum RequestTimer {
   Holders = 'holders',
   Reattach = 'reattach',
   BackOff = 'back-off',
@@ -126,7 +126,7 @@
 export type MayRunAgain = (repeatable: boolean, mayHaveRun: boolean) => boolean;
 
 /** Limits, timeouts and decision functions of a request machine. */
-export interface DriveOptions {
+export interface RequestMachineOptions {
   readonly retry: RetryOptions;
   /** Wait before an unreachable holder is called again. */
   readonly holderWaitMs: number;
@@ -152,7 +152,7 @@
   readonly absenceHorizonMs: number;
   /** Decides whether a request may be accepted or an attempt dispatched. */
   readonly mayProceed: AllHoldersDone;
-  readonly mayTellAnswer: AllHoldersDone;
+  readonly mayDeliverAnswer: AllHoldersDone;
   readonly fitsAnswer: FitsAnswer;
   readonly matchesResume: MatchesResume;
   readonly mayRunAgain: MayRunAgain;
@@ -161,13 +161,13 @@
 }
 
 /** Inputs that may differ between calls of the machine. */
-export interface DriveContext {
+export interface RequestContext {
   readonly nowMs: number;
   readonly random: Random;
   readonly hash32: Hash32;
   /** Member id of this entry. */
   readonly entryId: string;
-  readonly options: DriveOptions;
+  readonly options: RequestMachineOptions;
   readonly budget: RetryBudget;
   /**
    * Returns the current holders of the request's key, computed without the members in `without`.
@@ -184,12 +184,12 @@
 }
 
 /** State of a request machine. */
-export interface RequestDrive {
+export interface RequestMachine {
   /** Unique across all entries and their restarts; it is the prefix of attempt ids. */
   readonly id: string;
-  readonly request: DriveRequest;
+  readonly request: CallerRequest;
   readonly deadlineAtMs: number;
-  phase: DrivePhase;
+  phase: RequestPhase;
   /** State of the request, merged from all replies. */
   known: RequestRecord;
   round: HolderRound | null;
@@ -229,5 +229,5 @@
   lastId: number;
   askId: number;
   connectionId: number;
-  readonly timerIds: Map<DriveTimer, number>;
+  readonly timerIds: Map<RequestTimer, number>;
 }
--- a/packages/coordination/src/core/records/drive.ts
+++ b/packages/coordination/src/core/records/drive.ts
@@ -37,29 +37,33 @@
 } from './drive-rounds.js';
 import { onSidecarLost, onCancelOutcome, onStreamEvent } from './drive-streams.js';
 import { onTimer } from './drive-timers.js';
-import { emit, finishDrive, setTimer } from './drive-support.js';
+import { emit, finishRequest, setTimer } from './drive-support.js';
 import type { Turn } from './drive-support.js';
-import { DriveEventKind } from './drive-messages.js';
-import type { DriveEffect, DriveEvent } from './drive-messages.js';
-import { ClaimOutcome, DrivePhase, DriveTimer, LoneRunOutcome } from './drive-types.js';
-import type { DriveContext, DriveRequest, RequestDrive } from './drive-types.js';
+import { RequestEventKind } from './drive-messages.js';
+import type { RequestEffect, RequestEvent } from './drive-messages.js';
+import { ClaimOutcome, RequestPhase, RequestTimer, LoneRunOutcome } from './drive-types.js';
+import type { RequestContext, CallerRequest, RequestMachine } from './drive-types.js';
 import { CLAIM_UNAVAILABLE, KEY_CONFLICT, NOT_ADMITTED, RECORDS_FULL } from './failures.js';
 import { HolderCallKind, HolderReplyKind } from './messages.js';
 import type { HolderReply } from './messages.js';
 import { joinRecords } from './record.js';
-import { depositFirstTry } from '../retries/retries.js';
+import { depositFirstAttempt } from '../retries/retries.js';
 import { resolveNoteConflict, reconcileAnswer } from './drive-agreement.js';
 
 /**
  * Creates the machine for one connection. `id` must be unique across all entries and their
  * restarts.
  */
-export function createDrive(id: string, request: DriveRequest, nowMs: number): RequestDrive {
+export function createRequestMachine(
+  id: string,
+  request: CallerRequest,
+  nowMs: number,
+): RequestMachine {
   return {
     id,
     request,
     deadlineAtMs: nowMs + request.deadlineMs,
-    phase: DrivePhase.Creating,
+    phase: RequestPhase.Creating,
     known: {
       keyText: request.keyText,
       service: request.service,
@@ -103,44 +107,44 @@
 }
 
 /** Handles one event and returns the effects to execute. */
-export function handleDriveEvent(
-  machine: RequestDrive,
-  event: DriveEvent,
-  context: DriveContext,
-): readonly DriveEffect[] {
+export function handleRequestEvent(
+  machine: RequestMachine,
+  event: RequestEvent,
+  context: RequestContext,
+): readonly RequestEffect[] {
   const turn: Turn = { machine, context, out: [] };
-  if (machine.phase !== DrivePhase.Done) handle(turn, event);
+  if (machine.phase !== RequestPhase.Done) handle(turn, event);
   return turn.out;
 }
 
-function handle(turn: Turn, event: DriveEvent): void {
+function handle(turn: Turn, event: RequestEvent): void {
   const { machine } = turn;
   switch (event.kind) {
-    case DriveEventKind.CallerArrived:
+    case RequestEventKind.CallerArrived:
       start(turn);
       return;
-    case DriveEventKind.CallerGone:
+    case RequestEventKind.CallerGone:
       onCallerGone(turn);
       return;
-    case DriveEventKind.HolderFailed:
+    case RequestEventKind.HolderFailed:
       onHolderUnreachable(turn, event.roundId, event.from);
       return;
-    case DriveEventKind.HolderReplied:
+    case RequestEventKind.HolderReplied:
       onHolderReply(turn, event.roundId, event.from, event.reply);
       return;
-    case DriveEventKind.MembersChanged:
+    case RequestEventKind.MembersChanged:
       onMembersChanged(turn);
       return;
-    case DriveEventKind.StreamOpened:
-    case DriveEventKind.StreamTokens:
-    case DriveEventKind.StreamEnded:
-    case DriveEventKind.StreamFailed:
+    case RequestEventKind.StreamOpened:
+    case RequestEventKind.StreamTokens:
+    case RequestEventKind.StreamEnded:
+    case RequestEventKind.StreamFailed:
       onStreamEvent(turn, event);
       return;
-    case DriveEventKind.CancelReplied:
+    case RequestEventKind.CancelReplied:
       if (event.attemptId === machine.attempt?.id) onCancelOutcome(turn, event.outcome);
       return;
-    case DriveEventKind.TimerFired:
+    case RequestEventKind.TimerFired:
       if (machine.timerIds.get(event.timer) === event.timerId) onTimer(turn, event.timer);
       return;
     default:
@@ -150,8 +154,8 @@
 
 function start(turn: Turn): void {
   const { machine, context } = turn;
-  depositFirstTry(context.budget, context.options.retry);
-  setTimer(turn, DriveTimer.Deadline, machine.request.deadlineMs);
+  depositFirstAttempt(context.budget, context.options.retry);
+  setTimer(turn, RequestTimer.Deadline, machine.request.deadlineMs);
   beginRound(turn, { kind: HolderCallKind.Create, record: machine.known });
 }
 
@@ -163,46 +167,47 @@
 function onCallerGone(turn: Turn): void {
   const { machine } = turn;
   machine.callerPresent = false;
-  if (machine.phase !== DrivePhase.Creating) return;
+  if (machine.phase !== RequestPhase.Creating) return;
   emit(turn, EventKind.RequestRefused, 'its caller left before it was accepted', {
     figures: roundFigures(turn),
   });
-  finishDrive(turn);
+  finishRequest(turn);
 }
 
-type AskReply = Extract<DriveEvent, { askId: number }>;
+type AskReply = Extract<RequestEvent, { askId: number }>;
 
 function onAskReplied(turn: Turn, event: AskReply): void {
   const { machine, context } = turn;
   const { service } = machine.request;
   switch (event.kind) {
-    case DriveEventKind.Admitted:
-      if (machine.phase === DrivePhase.AwaitingAdmission) openSessionFor(turn, event.place, false);
+    case RequestEventKind.Admitted:
+      if (machine.phase === RequestPhase.AwaitingAdmission)
+        openSessionFor(turn, event.place, false);
       return;
-    case DriveEventKind.AdmissionRefused:
-      if (machine.phase !== DrivePhase.AwaitingAdmission) return;
+    case RequestEventKind.AdmissionRefused:
+      if (machine.phase !== RequestPhase.AwaitingAdmission) return;
       refuse(turn, NOT_ADMITTED.of({ service, reason: event.reason }), event.retryAfterMs);
       return;
-    case DriveEventKind.LoneRunReplied:
-      if (machine.phase === DrivePhase.AwaitingLoneRun) onLoneRunReply(turn, event);
+    case RequestEventKind.LoneRunReplied:
+      if (machine.phase === RequestPhase.AwaitingLoneRun) onLoneRunReply(turn, event);
       return;
-    case DriveEventKind.SessionOpened:
-      if (machine.phase !== DrivePhase.OpeningSession) return;
+    case RequestEventKind.SessionOpened:
+      if (machine.phase !== RequestPhase.OpeningSession) return;
       onSessionOpened(turn, event.sessionId, event.sequence);
       return;
-    case DriveEventKind.SessionFailed:
-      if (machine.phase !== DrivePhase.OpeningSession) return;
+    case RequestEventKind.SessionFailed:
+      if (machine.phase !== RequestPhase.OpeningSession) return;
       machine.avoidTargets = [...machine.avoidTargets, machine.place?.target ?? ''];
       backOff(turn, context.options.reattachAfterMs);
       return;
-    case DriveEventKind.ClaimReplied:
-      if (machine.phase === DrivePhase.Claiming) onClaimReply(turn, event);
+    case RequestEventKind.ClaimReplied:
+      if (machine.phase === RequestPhase.Claiming) onClaimReply(turn, event);
   }
 }
 
 function onLoneRunReply(
   turn: Turn,
-  event: Extract<DriveEvent, { kind: DriveEventKind.LoneRunReplied }>,
+  event: Extract<RequestEvent, { kind: RequestEventKind.LoneRunReplied }>,
 ): void {
   if (event.outcome === LoneRunOutcome.Convicted) convict(turn, event.crashes);
   else if (event.outcome === LoneRunOutcome.Granted && event.place !== null) {
@@ -213,7 +218,7 @@
 
 function onClaimReply(
   turn: Turn,
-  event: Extract<DriveEvent, { kind: DriveEventKind.ClaimReplied }>,
+  event: Extract<RequestEvent, { kind: RequestEventKind.ClaimReplied }>,
 ): void {
   const { machine } = turn;
   const { service, bodyHash } = machine.request;
@@ -246,21 +251,21 @@
   const { options } = context;
   if (machine.round === null) return;
   switch (machine.phase) {
-    case DrivePhase.Creating:
+    case RequestPhase.Creating:
       onCreateProgress(turn);
       return;
-    case DrivePhase.Noting:
+    case RequestPhase.Noting:
       if (options.mayProceed(machine.round.replies, roundMembers(turn))) dispatchAttempt(turn);
       else if (hasReplyOfKind(turn, HolderReplyKind.Conflict)) onNoteConflict(turn);
       else if (roundIsComplete(turn)) resolveNoteConflict(turn);
       return;
-    case DrivePhase.Reconciling:
+    case RequestPhase.Reconciling:
       if (roundIsComplete(turn)) startNextStep(turn);
       return;
-    case DrivePhase.Convicting:
+    case RequestPhase.Convicting:
       if (roundIsComplete(turn)) onConvicted(turn);
       return;
-    case DrivePhase.Releasing:
+    case RequestPhase.Releasing:
       if (roundIsComplete(turn)) sendRefusal(turn, runStateOf(turn));
       return;
     default:
@@ -314,6 +319,6 @@
     onRoundProgress(turn);
   }
   const sidecar = machine.attempt?.sidecar;
-  if (machine.phase !== DrivePhase.Streaming || sidecar === undefined) return;
+  if (machine.phase !== RequestPhase.Streaming || sidecar === undefined) return;
   if (!context.isLive(sidecar)) onSidecarLost(turn);
 }
--- a/packages/coordination/src/core/records/host-commit.ts
+++ b/packages/coordination/src/core/records/host-commit.ts
@@ -16,7 +16,7 @@
 export function commitAnswer(turn: HostTurn, hosted: HostedAttempt, ending: AnswerEnding): void {
   hosted.ending = ending;
   hosted.phase = HostedPhase.Committing;
-  hosted.delegateCommitAtMs = turn.context.nowMs + turn.context.options.commitPatienceMs;
+  hosted.delegateCommitAtMs = turn.context.nowMs + turn.context.options.commitTimeoutMs;
   const answer: Answer = {
     attemptId: hosted.attempt.id,
     attemptNumber: hosted.attempt.number,
@@ -104,7 +104,7 @@
   const { holderCall } = hosted;
   if (holderCall === null) return;
   const holders = turn.context.holdersOfKey(hosted.record.keyText);
-  if (!turn.context.options.mayTellEnd(hosted.holderReplies, holders)) return;
+  if (!turn.context.options.mayReportEnd(hosted.holderReplies, holders)) return;
   if (holderCall.kind === HolderCallKind.Finish && holderCall.answer !== null) {
     markCommitted(turn, hosted, holderCall.answer);
     return;
@@ -143,7 +143,7 @@
 export function delegateCommit(turn: HostTurn, hosted: HostedAttempt): void {
   const { holderCall } = hosted;
   if (hosted.phase !== HostedPhase.Committing || holderCall === null) return;
-  hosted.delegateCommitAtMs = turn.context.nowMs + turn.context.options.commitPatienceMs;
+  hosted.delegateCommitAtMs = turn.context.nowMs + turn.context.options.commitTimeoutMs;
   const record = recordOfCall(holderCall);
   for (const attachId of hosted.attachments.keys()) {
     const failure: StreamFailure = {
--- a/packages/coordination/src/core/records/host-dispatch.ts
+++ b/packages/coordination/src/core/records/host-dispatch.ts
@@ -68,7 +68,7 @@
         return { reason: StreamFailureReason.Expired, mayHaveRun: false };
       }
       const running = runningAttempts(state);
-      const isBlockedByLoneRun = !attempt.alone && !context.options.leavesAlone(running, false);
+      const isBlockedByLoneRun = !attempt.alone && !context.options.mayStartBeside(running, false);
       const mayInheritLoneRun = state.inherited === null || state.inherited.mayBeLone;
       const isBusy =
         isBlockedByLoneRun || mayInheritLoneRun || state.draining || isFull(turn, message);
@@ -153,7 +153,7 @@
     if (hosted.phase !== HostedPhase.Waiting) continue;
     const otherAttempts = runningAttempts(state).filter((other) => other !== hosted);
     const started = otherAttempts.filter((other) => other.phase !== HostedPhase.Waiting);
-    if (!context.options.leavesAlone(started, hosted.attempt.alone)) continue;
+    if (!context.options.mayStartBeside(started, hosted.attempt.alone)) continue;
     if (hosted.attempt.alone && state.inherited?.count !== 0) continue;
     if (hosted.attempt.alone && !hosted.loneRunConfirmed) {
       checkLoneRun(turn, hosted);
@@ -246,7 +246,7 @@
  * Otherwise its crash would end other requests in the same batch and make their contents suspects
  * too.
  */
-export function leavesAlone(running: readonly HostedAttempt[], alone: boolean): boolean {
+export function mayStartBeside(running: readonly HostedAttempt[], alone: boolean): boolean {
   if (running.length === 0) return true;
   return !alone && !running.some((hosted) => hosted.attempt.alone);
 }
--- a/packages/coordination/src/core/records/host-types.ts
+++ b/packages/coordination/src/core/records/host-types.ts
@@ -174,7 +174,7 @@
       readonly kind: HostEventKind.LoneRunChecked;
       readonly attemptId: string;
       /** Whether the key-value service names this attempt as the lone run of the service. */
-      readonly stands: boolean;
+      readonly isCurrentLoneRun: boolean;
     }
   | {
       readonly kind: HostEventKind.ContentSuspected | HostEventKind.ContentCleared;
@@ -253,12 +253,12 @@
   | { readonly kind: HostEffectKind.Emit; readonly event: UnstampedEvent };
 
 /** Decides whether enough holders have an answer for its end to be reported to readers. */
-export type MayTellEnd = (
+export type MayReportEnd = (
   replies: ReadonlyMap<string, HolderReply>,
   holders: readonly string[],
 ) => boolean;
 /** Decides whether an attempt may start beside the running ones, given that lone runs run alone. */
-export type LeavesAlone = (running: readonly HostedAttempt[], alone: boolean) => boolean;
+export type MayStartBeside = (running: readonly HostedAttempt[], alone: boolean) => boolean;
 
 /** Limits of the state machine, and the rules by which it accepts and ends attempts. */
 export interface HostOptions {
@@ -267,7 +267,7 @@
   readonly maxBytes: number;
   readonly maxAnswerTokens: number;
   readonly maxSuspectedHashes: number;
-  readonly maxAwaitedLoneRuns: number;
+  readonly maxProbedLoneRuns: number;
   /** Time within which the dispatch of a probed lone run must arrive before it is forbidden. */
   readonly loneRunGraceMs: number;
   /** How long an ended attempt is kept for readers. */
@@ -276,11 +276,11 @@
   /** Delay before a call is repeated to a holder that was reached but has not replied. */
   readonly holderRepeatMs: number;
   /** Time after which readers are handed an answer that this sidecar could not commit. */
-  readonly commitPatienceMs: number;
+  readonly commitTimeoutMs: number;
   readonly busyRetryAfterMs: number;
   readonly judgeSequence: JudgeSequence;
-  readonly mayTellEnd: MayTellEnd;
-  readonly leavesAlone: LeavesAlone;
+  readonly mayReportEnd: MayReportEnd;
+  readonly mayStartBeside: MayStartBeside;
 }
 
 /** Inputs that vary from call to call. */
--- a/packages/coordination/src/core/records/host.ts
+++ b/packages/coordination/src/core/records/host.ts
@@ -19,7 +19,7 @@
 import type { HostTurn } from './host-streams.js';
 import { HostEventKind, HostedPhase } from './host-types.js';
 import type { HostContext, HostEffect, HostEvent, HostState } from './host-types.js';
-import { CancelOutcome, LoneProbe, StreamFailureReason } from './messages.js';
+import { CancelOutcome, LoneRunStatus, StreamFailureReason } from './messages.js';
 import type { CancelMessage, ProbeMessage } from './messages.js';
 import type { Attempt } from './record.js';
 import { SequenceVerdict, createSessions, markSeen } from './sessions.js';
@@ -102,7 +102,7 @@
       }
       return;
     case HostEventKind.LoneRunChecked:
-      onLoneRunChecked(turn, event.attemptId, event.stands);
+      onLoneRunChecked(turn, event.attemptId, event.isCurrentLoneRun);
       return;
     case HostEventKind.ContentSuspected:
       onContentSuspected(turn, event.bodyHash);
@@ -175,29 +175,29 @@
   state: HostState,
   message: ProbeMessage,
   context: HostContext,
-): LoneProbe {
+): LoneRunStatus {
   const { attemptId, sidecarIncarnation } = message;
-  if (sidecarIncarnation !== state.sessions.incarnation) return LoneProbe.Gone;
+  if (sidecarIncarnation !== state.sessions.incarnation) return LoneRunStatus.Gone;
   const hosted = state.attempts.get(attemptId);
   if (hosted === undefined) return probeUnarrivedLoneRun(state, attemptId, context);
-  if (hosted.failure?.reason === StreamFailureReason.EngineCrashed) return LoneProbe.Crashed;
-  return runningAttempts(state).includes(hosted) ? LoneProbe.Running : LoneProbe.Over;
+  if (hosted.failure?.reason === StreamFailureReason.EngineCrashed) return LoneRunStatus.Crashed;
+  return runningAttempts(state).includes(hosted) ? LoneRunStatus.Running : LoneRunStatus.Over;
 }
 
 function probeUnarrivedLoneRun(
   state: HostState,
   attemptId: string,
   context: HostContext,
-): LoneProbe {
+): LoneRunStatus {
   const { nowMs, options } = context;
   const probedRun = state.probedLoneRuns.get(attemptId);
   if (probedRun === undefined) {
-    if (state.probedLoneRuns.size >= options.maxAwaitedLoneRuns) dropOldestProbed(state);
+    if (state.probedLoneRuns.size >= options.maxProbedLoneRuns) dropOldestProbed(state);
     state.probedLoneRuns.set(attemptId, { firstProbedAtMs: nowMs, forbidden: false });
-    return LoneProbe.Running;
+    return LoneRunStatus.Running;
   }
   if (nowMs - probedRun.firstProbedAtMs >= options.loneRunGraceMs) probedRun.forbidden = true;
-  return probedRun.forbidden ? LoneProbe.Over : LoneProbe.Running;
+  return probedRun.forbidden ? LoneRunStatus.Over : LoneRunStatus.Running;
 }
 
 function dropOldestProbed(state: HostState): void {
--- a/packages/coordination/src/core/records/messages.ts
+++ b/packages/coordination/src/core/records/messages.ts
@@ -159,7 +159,7 @@
  * State of a lone run, which is an attempt that runs on a target without any other request, as its
  * sidecar reports it. The state is `gone` if the sidecar is dead.
  */
-export enum LoneProbe {
+export enum LoneRunStatus {
   Running = 'running',
   /** The run ended without a crash, or will never start. */
   Over = 'over',
--- a/packages/coordination/src/core/records/options.ts
+++ b/packages/coordination/src/core/records/options.ts
@@ -4,16 +4,16 @@
 import { DEFAULT_AGGREGATOR_OPTIONS } from '../claims/aggregator.js';
 import type { ClaimClientOptions } from '../claims/client.js';
 import type { PoisonOptions } from '../poison/client-types.js';
-import { mayBegin } from '../poison/client.js';
+import { allowOneLoneRun } from '../poison/client.js';
 import { isConvicted } from '../poison/ledger.js';
 import { DEFAULT_RETRY_OPTIONS, withdrawRetry } from '../retries/retries.js';
 import { mayRunAgain } from './drive-attempts.js';
 import { fitsAnswer, matchesResume } from './drive-delivery.js';
 import { allHoldersDone } from './drive-rounds.js';
-import type { DriveOptions } from './drive-types.js';
+import type { RequestMachineOptions } from './drive-types.js';
 import type { HolderOptions } from './holder.js';
 import { acceptsFinish, acceptsNote } from './holder.js';
-import { leavesAlone } from './host-dispatch.js';
+import { mayStartBeside } from './host-dispatch.js';
 import type { HostOptions } from './host-types.js';
 import type { RepairOptions } from './repair.js';
 import { judgeSequence } from './sessions.js';
@@ -24,7 +24,7 @@
  * holder that is reachable but does not reply is slow; it is called again after two and after four
  * seconds, in case its connection is dead without a visible error.
  */
-export const DEFAULT_DRIVE_OPTIONS: DriveOptions = {
+export const DEFAULT_REQUEST_MACHINE_OPTIONS: RequestMachineOptions = {
   retry: DEFAULT_RETRY_OPTIONS,
   holderWaitMs: 500,
   maxHolderWaits: 12,
@@ -36,7 +36,7 @@
   settleMs: 15_000,
   absenceHorizonMs: 600_000,
   mayProceed: allHoldersDone,
-  mayTellAnswer: allHoldersDone,
+  mayDeliverAnswer: allHoldersDone,
   fitsAnswer,
   matchesResume,
   mayRunAgain,
@@ -50,7 +50,7 @@
  * timeout would be busy all the time without answering any caller.
  */
 export const HOLDER_CALL_TIMEOUT_MS =
-  DEFAULT_DRIVE_OPTIONS.holderWaitMs * DEFAULT_DRIVE_OPTIONS.maxHolderWaits;
+  DEFAULT_REQUEST_MACHINE_OPTIONS.holderWaitMs * DEFAULT_REQUEST_MACHINE_OPTIONS.maxHolderWaits;
 
 /**
  * 24 MB for records keep a member within its 32 MB for control data. A fifth of it is reserved for
@@ -75,7 +75,7 @@
  */
 export const DEFAULT_REPAIR_OPTIONS: RepairOptions = {
   repairsPerTick: 200,
-  maxUnderWay: 64,
+  maxInFlightPerMember: 64,
   resendAfterMs: 1000,
   handoverGraceMs: 30_000,
 };
@@ -87,16 +87,16 @@
   maxBytes: 64_000_000,
   maxAnswerTokens: 65_536,
   maxSuspectedHashes: 1024,
-  maxAwaitedLoneRuns: 1024,
+  maxProbedLoneRuns: 1024,
   loneRunGraceMs: 3000,
   retentionMs: 60_000,
   holderRetryMs: 500,
   holderRepeatMs: 2000,
-  commitPatienceMs: 10_000,
+  commitTimeoutMs: 10_000,
   busyRetryAfterMs: 250,
   judgeSequence,
-  mayTellEnd: allHoldersDone,
-  leavesAlone,
+  mayReportEnd: allHoldersDone,
+  mayStartBeside,
 };
 
 /** Gives up later than the aggregator, so the aggregator's refusal arrives before this timeout. */
@@ -110,8 +110,8 @@
 export const DEFAULT_POISON_OPTIONS: PoisonOptions = {
   maxOperations: 1000,
   retryMs: 500,
-  reportForMs: 3_600_000,
-  laterMs: 500,
+  reportRetryWindowMs: 3_600_000,
+  loneRunRetryMs: 500,
   isConvicted,
-  mayBegin,
+  mayBeginLoneRun: allowOneLoneRun,
 };
--- a/packages/coordination/src/core/records/repair.ts
+++ b/packages/coordination/src/core/records/repair.ts
@@ -16,7 +16,7 @@
   /** Number of records checked per tick. */
   readonly repairsPerTick: number;
   /** Limit of unacknowledged copies per member. */
-  readonly maxUnderWay: number;
+  readonly maxInFlightPerMember: number;
   /** Delay before an unacknowledged copy is resent; doubles with each resend. */
   readonly resendAfterMs: number;
   /** Time without membership changes before a copy that belongs to other members is dropped. */
@@ -64,7 +64,7 @@
 export type HoldersOfKey = (keyText: string) => readonly string[];
 
 /** The table of a member, together with the state and the placement that its repair needs. */
-export interface HolderPlace {
+export interface HolderWithRepair {
   readonly holder: HolderState;
   readonly repair: RepairState;
   readonly selfId: string;
@@ -127,8 +127,8 @@
  * so without this the current holders would lack the answer, and a retry would run the request
  * again although its answer was delivered.
  */
-export function handleHolderCallAt(
-  place: HolderPlace,
+export function handleHolderCallWithRepair(
+  place: HolderWithRepair,
   call: HolderCall,
   options: HolderOptions,
   nowMs: number,
@@ -202,7 +202,9 @@
 function sendCopies(turn: RepairTurn, held: HeldRecord, missing: readonly string[]): void {
   const { repair, options, nowMs, inFlight, sends } = turn;
   const { record } = held;
-  const recipients = missing.filter((member) => (inFlight.get(member) ?? 0) < options.maxUnderWay);
+  const recipients = missing.filter(
+    (member) => (inFlight.get(member) ?? 0) < options.maxInFlightPerMember,
+  );
   if (recipients.length === 0) {
     repair.queue.push(record.keyText);
     return;
--- a/packages/coordination/src/core/retries/retries.ts
+++ b/packages/coordination/src/core/retries/retries.ts
@@ -44,7 +44,7 @@
 }
 
 /** Adds the tokens of a first attempt. */
-export function depositFirstTry(budget: RetryBudget, options: RetryOptions): void {
+export function depositFirstAttempt(budget: RetryBudget, options: RetryOptions): void {
   budget.tokens = Math.min(options.burst, budget.tokens + options.ratio);
 }
 
@@ -70,8 +70,8 @@
 
 /** Limits of a wait that doubles with each failure. */
 export interface BackOffBounds {
-  readonly firstMs: number;
-  readonly mostMs: number;
+  readonly initialMs: number;
+  readonly maxMs: number;
 }
 
 /** Maximum number of doublings; any sensible limit is reached earlier. */
@@ -84,11 +84,11 @@
  */
 export function waitAfterFailuresMs(
   failures: number,
-  { firstMs, mostMs }: BackOffBounds,
+  { initialMs, maxMs }: BackOffBounds,
   random: Random,
 ): number {
   const doublings = Math.min(MAX_DOUBLINGS, Math.max(0, failures - 1));
-  const boundMs = Math.min(mostMs, firstMs * 2 ** doublings);
+  const boundMs = Math.min(maxMs, initialMs * 2 ** doublings);
   return boundMs * (0.5 + random() / 2);
 }
 
--- a/packages/coordination/src/core/roles/demand.ts
+++ b/packages/coordination/src/core/roles/demand.ts
@@ -80,7 +80,7 @@
 /**
  * Counts a request on arrival. Rejected requests count too, because they are part of the demand.
  */
-export function noteArrival(
+export function recordArrival(
   meter: DemandMeter,
   arrival: {
     readonly promptTokens: number;
--- a/packages/coordination/src/core/roles/planner.ts
+++ b/packages/coordination/src/core/roles/planner.ts
@@ -55,14 +55,14 @@
 }
 
 /** A role change that the planner requests. */
-export interface WantedOrder {
+export interface RoleOrder {
   readonly target: string;
   readonly role: EngineRole;
 }
 
 /** A decision with its time line events, which also explain why roles were kept. */
 export interface RolePlan {
-  readonly orders: readonly WantedOrder[];
+  readonly orders: readonly RoleOrder[];
   readonly events: readonly UnstampedEvent[];
 }
 
@@ -318,7 +318,7 @@
   figures: Readonly<Record<string, number>>,
 ): RolePlan {
   const role = addedPrefillTargets > 0 ? EngineRole.Prefill : EngineRole.Decode;
-  const orders: WantedOrder[] = [];
+  const orders: RoleOrder[] = [];
   const chosenNames = new Set<string>();
   for (let count = 0; count < Math.abs(addedPrefillTargets); count += 1) {
     const target = chooseTarget(view.targets, role, chosenNames, planner.options.floorTargets);
--- a/packages/coordination/src/core/routing/cache-news.ts
+++ b/packages/coordination/src/core/routing/cache-news.ts
@@ -8,7 +8,7 @@
 }
 
 /** One cache event. A gap in `sequence` means that events were lost. */
-export interface CacheNews {
+export interface CacheEvent {
   readonly epoch: string;
   readonly sequence: number;
   readonly change: CacheChange;
--- a/packages/coordination/src/core/routing/candidates.ts
+++ b/packages/coordination/src/core/routing/candidates.ts
@@ -24,8 +24,8 @@
   nowMs: number,
   random: Random,
 ): Candidates {
-  const prefillTargets = sample(router.readers, router.options.choices, random);
-  const decodeTargets = sample(router.writers, router.options.choices, random);
+  const prefillTargets = sample(router.prefillTargets, router.options.choices, random);
+  const decodeTargets = sample(router.decodeTargets, router.options.choices, random);
   for (const view of affinityTargets(router, prefixBlocks)) {
     if (!view.accepting || !isLoadKnownOrExplored(router, view, nowMs, random)) continue;
     const phaseTargets =
--- a/packages/coordination/src/core/routing/prefix-index.ts
+++ b/packages/coordination/src/core/routing/prefix-index.ts
@@ -7,7 +7,7 @@
  */
 import { LRUCache } from 'lru-cache';
 import { CacheChange } from './cache-news.js';
-import type { CacheNews } from './cache-news.js';
+import type { CacheEvent } from './cache-news.js';
 import type { TargetView } from './target-view.js';
 
 /** A target that holds a block; `generation` is the target's cache generation at that time. */
@@ -57,7 +57,7 @@
 }
 
 /** Applies a cache event of a target. Duplicate and outdated events are ignored. */
-export function applyCacheEvent(index: PrefixIndex, view: TargetView, event: CacheNews): void {
+export function applyCacheEvent(index: PrefixIndex, view: TargetView, event: CacheEvent): void {
   if (event.epoch !== view.cacheEpoch) {
     startEpoch(view, event.epoch);
   } else if (event.sequence <= view.cacheSequence) {
@@ -71,7 +71,7 @@
   applyChange(index, view, event);
 }
 
-function applyChange(index: PrefixIndex, view: TargetView, event: CacheNews): void {
+function applyChange(index: PrefixIndex, view: TargetView, event: CacheEvent): void {
   switch (event.change) {
     case CacheChange.Stored:
       recordHolder(index, view, event.blocks);
--- a/packages/coordination/src/core/routing/route.ts
+++ b/packages/coordination/src/core/routing/route.ts
@@ -96,7 +96,7 @@
 }
 
 /**
- * Chooses the targets of a request. Does not change the router; call {@link noteDispatch} after the
+ * Chooses the targets of a request. Does not change the router; call {@link recordDispatch} after the
  * request has been sent.
  */
 export function route(
@@ -242,7 +242,7 @@
 const UNCACHED_SHARE_WEIGHT = 0.01;
 
 /** Records a dispatched request, so that it counts before load reports include it. */
-export function noteDispatch(
+export function recordDispatch(
   router: Router,
   plan: RoutePlan,
   request: RouteRequest,
@@ -251,7 +251,7 @@
   const uncached = plan.prefillTokens / request.promptTokens;
   router.dispatches += 1;
   const weight = Math.max(UNCACHED_SHARE_WEIGHT, 1 / router.dispatches);
-  router.unreadShare += (uncached - router.unreadShare) * weight;
+  router.uncachedShare += (uncached - router.uncachedShare) * weight;
   const prefillTarget = router.views.get(plan.reader);
   const decodeTarget = router.views.get(plan.writer);
   const contextTokens = request.promptTokens + plan.expectedOutputTokens / 2;
@@ -271,7 +271,7 @@
 }
 
 /** Records that a running answer moves, with its KV cache, to another decode target. */
-export function noteMove(
+export function recordMigration(
   router: Router,
   target: string,
   request: RouteRequest,
@@ -285,4 +285,4 @@
 }
 
 /** An empty set of excluded targets. */
-export const excludedNone: ReadonlySet<string> = new Set();
+export const noExcludedTargets: ReadonlySet<string> = new Set();
--- a/packages/coordination/src/core/routing/router.ts
+++ b/packages/coordination/src/core/routing/router.ts
@@ -4,7 +4,7 @@
  */
 import type { EngineRole } from '../model/configuration.js';
 import type { Hash32 } from '../hashing/hashing.js';
-import type { CacheNews } from './cache-news.js';
+import type { CacheEvent } from './cache-news.js';
 import type { EngineProfile } from './engine-profile.js';
 import type { LoadReport, TargetInfo } from './load-report.js';
 import { createOutputLengths, recordOutputLength } from './output-length.js';
@@ -55,11 +55,11 @@
   /** Views by `TargetView.index`; undefined where a target has left. */
   readonly viewsByIndex: (TargetView | undefined)[];
   /** Targets of the subset that accept new work and run prefill only. */
-  readers: readonly TargetView[];
+  prefillTargets: readonly TargetView[];
   /** Targets of the subset that accept new work and can decode. */
-  writers: readonly TargetView[];
+  decodeTargets: readonly TargetView[];
   /** All targets that accept new work. */
-  live: readonly TargetView[];
+  acceptingTargets: readonly TargetView[];
   subset: readonly TargetView[];
   subsetNames: ReadonlySet<string>;
   /** Home targets by prefix slot, computed on first use and cleared when the targets change. */
@@ -68,7 +68,7 @@
   readonly lengths: OutputLengths;
   nextIndex: number;
   /** Moving mean of the share of prompt tokens that needed prefill; the rest was cached. */
-  unreadShare: number;
+  uncachedShare: number;
   dispatches: number;
 }
 
@@ -78,22 +78,22 @@
     options,
     views: new Map(),
     viewsByIndex: [],
-    readers: [],
-    writers: [],
-    live: [],
+    prefillTargets: [],
+    decodeTargets: [],
+    acceptingTargets: [],
     subset: [],
     subsetNames: new Set(),
     homes: new Map(),
     prefixes: createPrefixIndex(options.maxPrefixBlocks),
     lengths: createOutputLengths(),
     nextIndex: 0,
-    unreadShare: 1,
+    uncachedShare: 1,
     dispatches: 0,
   };
 }
 
 /** Sets the targets of the service. The cost grows with the fleet; call it only on changes. */
-export function noteTargets(router: Router, targets: readonly TargetInfo[]): void {
+export function updateTargets(router: Router, targets: readonly TargetInfo[]): void {
   const names = new Set(targets.map((target) => target.name));
   for (const view of router.views.values()) {
     if (!names.has(view.name)) removeView(router, view);
@@ -103,9 +103,9 @@
     view.accepting = target.accepting;
     if (view.report === null) view.role = target.role;
   }
-  router.live = [...router.views.values()].filter((view) => view.accepting);
+  router.acceptingTargets = [...router.views.values()].filter((view) => view.accepting);
   router.subset = chooseSubset(
-    router.live,
+    router.acceptingTargets,
     router.options.entry,
     router.options.subsetTargets,
     router.options.hash32,
@@ -126,7 +126,7 @@
     latencyMs: router.options.latencyMs(target.failureDomain),
     report: null,
     excessMs: 0,
-    own: [],
+    ownDispatches: [],
     lastDispatchAtMs: Number.NEGATIVE_INFINITY,
     ownCompletions: [],
     cacheGeneration: 0,
@@ -150,8 +150,8 @@
 function groupByPhase(router: Router): void {
   const { profile } = router.options;
   const accepting = router.subset.filter((view) => view.accepting);
-  router.readers = accepting.filter((view) => profile.roles[view.role].maxBatch === 0);
-  router.writers = accepting.filter((view) => profile.roles[view.role].maxBatch > 0);
+  router.prefillTargets = accepting.filter((view) => profile.roles[view.role].maxBatch === 0);
+  router.decodeTargets = accepting.filter((view) => profile.roles[view.role].maxBatch > 0);
 }
 
 /** How long an entry receives reports of a target outside its subset after using it. */
@@ -165,7 +165,7 @@
 }
 
 /** Applies a load report. Reports of unknown targets are ignored. */
-export function noteLoad(router: Router, report: LoadReport): void {
+export function applyLoadReport(router: Router, report: LoadReport): void {
   const view = router.views.get(report.target);
   if (view === undefined) return;
   const previousEpoch = view.report?.epoch;
@@ -186,7 +186,7 @@
 }
 
 /** Applies a cache event. Events of unknown targets are ignored. */
-export function noteCacheEvent(router: Router, target: string, event: CacheNews): void {
+export function recordCacheEvent(router: Router, target: string, event: CacheEvent): void {
   const view = router.views.get(target);
   if (view !== undefined) applyCacheEvent(router.prefixes, view, event);
 }
@@ -203,7 +203,7 @@
 }
 
 /** Records the end of an answer that this entry dispatched. */
-export function noteEnd(router: Router, end: AnswerEnd, nowMs: number): void {
+export function recordAnswerEnd(router: Router, end: AnswerEnd, nowMs: number): void {
   if (end.whole) {
     recordOutputLength(router.lengths, end.workspace, end.promptTokens, end.outputTokens);
   }
@@ -222,7 +222,7 @@
   const slot = router.options.hash32(firstBlock) % PREFIX_SLOTS;
   const cached = router.homes.get(slot);
   if (cached !== undefined) return cached;
-  const homes = rankHighest(router.live, slot + 1, HOMES_PER_PREFIX);
+  const homes = rankHighest(router.acceptingTargets, slot + 1, HOMES_PER_PREFIX);
   router.homes.set(slot, homes);
   return homes;
 }
--- a/packages/coordination/src/core/routing/target-view.ts
+++ b/packages/coordination/src/core/routing/target-view.ts
@@ -36,7 +36,7 @@
   report: LoadReport | null;
   /** Moving mean of the step time beyond the profile, caused by prefill chunks or a slow engine. */
   excessMs: number;
-  own: OwnDispatch[];
+  ownDispatches: OwnDispatch[];
   /** Time of the latest dispatch by this entry. */
   lastDispatchAtMs: number;
   /** Answers of this entry that ended since the latest report. */
@@ -78,7 +78,7 @@
   view.report = report;
   view.role = report.role;
   updateExcess(view, report, profile);
-  view.own = view.own.filter((dispatch) => dispatch.atMs > report.atMs);
+  view.ownDispatches = view.ownDispatches.filter((dispatch) => dispatch.atMs > report.atMs);
   view.ownCompletions = view.ownCompletions.filter((end) => end.atMs > report.atMs);
   return true;
 }
@@ -101,8 +101,8 @@
 /** Stores a dispatch by this entry until a report includes it. */
 export function recordOwnDispatch(view: TargetView, dispatch: OwnDispatch): void {
   view.lastDispatchAtMs = dispatch.atMs;
-  if (view.own.length >= MAX_OWN_DISPATCHES) view.own.shift();
-  view.own.push(dispatch);
+  if (view.ownDispatches.length >= MAX_OWN_DISPATCHES) view.ownDispatches.shift();
+  view.ownDispatches.push(dispatch);
 }
 
 /** Stores the end of an answer of this entry until a report includes it. */
@@ -137,7 +137,7 @@
     tokenChange -= end.contextTokens;
   }
   if (profile.roles[view.role].maxBatch > 0) {
-    for (const dispatch of view.own) {
+    for (const dispatch of view.ownDispatches) {
       sequenceChange += 1;
       tokenChange += dispatch.contextTokens;
     }
@@ -174,7 +174,7 @@
   if (!Number.isFinite(msPerToken)) return 0;
   let atMs = view.report?.atMs ?? nowMs;
   let aheadMs = (view.report?.waitingPrefillTokens ?? 0) * msPerToken;
-  for (const dispatch of view.own) {
+  for (const dispatch of view.ownDispatches) {
     const fromMs = Math.max(atMs, dispatch.atMs);
     aheadMs = Math.max(0, aheadMs - (fromMs - atMs));
     aheadMs += dispatch.prefillTokens * msPerToken * peerFactor;
--- a/packages/coordination/src/core/scheduling/dispatching.ts
+++ b/packages/coordination/src/core/scheduling/dispatching.ts
@@ -36,13 +36,13 @@
 export function dispatch(scheduler: Scheduler, nowMs: number): readonly Decision[] {
   const decisions: Decision[] = [];
   decisions.push(...requeueFromUnusable(scheduler, nowMs));
-  if (scheduler.waiting.size === 0) return decisions;
+  if (scheduler.queuedJobs.size === 0) return decisions;
   const canSteal = claimStealTurn(scheduler, nowMs);
   const decodeCandidates = canSteal ? jobsAllowedOnDecode(scheduler, nowMs) : [];
   for (const load of scheduler.targets.values()) {
     const isDecode = load.entry.phase === EnginePhase.Decode;
     while (hasCapacity(load, scheduler.options, nowMs)) {
-      const candidates = isDecode ? decodeCandidates : scheduler.waiting.values();
+      const candidates = isDecode ? decodeCandidates : scheduler.queuedJobs.values();
       const next =
         nextQueuedJob(scheduler, load, nowMs) ??
         (canSteal ? chooseJobToSteal(scheduler, load, candidates, nowMs) : null);
@@ -75,7 +75,7 @@
  * under overload.
  */
 function jobsAllowedOnDecode(scheduler: Scheduler, nowMs: number): readonly QueuedJob[] {
-  return [...scheduler.waiting.values()].filter(({ job, isRetry }) => {
+  return [...scheduler.queuedJobs.values()].filter(({ job, isRetry }) => {
     const ownTokens = job.parts.at(-1)?.tokens ?? 0;
     if (ownTokens <= scheduler.options.maxDecodePrefillTokens || isRetry) return true;
     return !hasPrefillEngine(scheduler, job, nowMs);
@@ -88,7 +88,7 @@
  */
 function requeueFromUnusable(scheduler: Scheduler, nowMs: number): readonly Decision[] {
   const refusals: Decision[] = [];
-  for (const queuedJob of [...scheduler.waiting.values()]) {
+  for (const queuedJob of [...scheduler.queuedJobs.values()]) {
     const load = scheduler.targets.get(queuedJob.target);
     if (load !== undefined && isUsable(load, nowMs)) continue;
     const placement = choosePlacement(scheduler, queuedJob, nowMs);
@@ -124,7 +124,7 @@
 ): QueuedJob | null {
   let best: { readonly queuedJob: QueuedJob; readonly estimate: ServiceEstimate } | null = null;
   for (const queuedJob of candidates) {
-    if (!scheduler.waiting.has(queuedJob.job.id)) continue;
+    if (!scheduler.queuedJobs.has(queuedJob.job.id)) continue;
     const currentEngine = scheduler.targets.get(queuedJob.target);
     if (currentEngine === undefined || !mayPrefill(scheduler, load, queuedJob.job, nowMs)) continue;
     const stay = predictPlacement(scheduler, currentEngine, queuedJob, nowMs);
--- a/packages/coordination/src/core/scheduling/handover.ts
+++ b/packages/coordination/src/core/scheduling/handover.ts
@@ -29,7 +29,7 @@
   prefillEngine: TargetLoad,
   nowMs: number,
 ): TargetLoad | null {
-  const { connectedAdvantage, connectionKeepAliveMs } = scheduler.options;
+  const { connectedBonusRequests, connectionKeepAliveMs } = scheduler.options;
   let best: TargetLoad | null = null;
   let lowestScore = Infinity;
   for (const load of scheduler.targets.values()) {
@@ -48,7 +48,7 @@
     const score =
       load.streaming.size +
       (isNear ? 0 : CROSS_DOMAIN_PENALTY_REQUESTS) -
-      (isConnected ? connectedAdvantage : 0) -
+      (isConnected ? connectedBonusRequests : 0) -
       cachedTokens / CACHED_TOKENS_PER_REQUEST;
     if (score < lowestScore) {
       best = load;
--- a/packages/coordination/src/core/scheduling/options.ts
+++ b/packages/coordination/src/core/scheduling/options.ts
@@ -56,7 +56,7 @@
    * Small compared with the slots of an engine: one more request slows each of its tokens by a few
    * percent.
    */
-  readonly connectedAdvantage: number;
+  readonly connectedBonusRequests: number;
   /**
    * Interval at which idle engines try to steal work; short compared with the prefill of a prompt.
    */
@@ -98,7 +98,7 @@
   stealIntervalMs: 10,
   connectionKeepAliveMs: 30_000,
   connectMs: 4,
-  connectedAdvantage: 4,
+  connectedBonusRequests: 4,
   firstEventMs: 15,
   handoverMs: 25,
   minRetryAfterMs: 300,
--- a/packages/coordination/src/core/scheduling/phase-split.ts
+++ b/packages/coordination/src/core/scheduling/phase-split.ts
@@ -89,7 +89,7 @@
   const surplus = decode.length - wanted;
   const maxChanging = isIdle
     ? split.length
-    : Math.max(options.maxChanging, shortByLimits(split, wanted));
+    : Math.max(options.maxChanging, limitedDecodeShortage(split, wanted));
   const available = maxChanging - changing;
   if (available <= 0 || surplus === 0) return [];
   if (surplus > 0) return planOrders(EnginePhase.Prefill, decode, Math.min(available, surplus));
@@ -98,7 +98,7 @@
 }
 
 /** Returns how many decode engines are missing because others are rate limited. */
-export function shortByLimits(engines: readonly PhaseEngine[], wanted: number): number {
+export function limitedDecodeShortage(engines: readonly PhaseEngine[], wanted: number): number {
   const decode = engines.filter(({ phase }) => phase === EnginePhase.Decode);
   const limited = decode.filter((engine) => engine.limited).length;
   return Math.min(limited, Math.max(0, wanted - (decode.length - limited)));
--- a/packages/coordination/src/core/scheduling/rate-limited.ts
+++ b/packages/coordination/src/core/scheduling/rate-limited.ts
@@ -15,7 +15,7 @@
 export function rateLimitRefusal(scheduler: Scheduler, job: Job, nowMs: number): Decision | null {
   const limited = limitedEngines(scheduler, job, nowMs);
   if (limited.length === 0) return null;
-  const availableInMs = scheduler.permits.askBackInMs(limited.map(({ entry }) => entry.id));
+  const availableInMs = scheduler.permits.reserveRetryInMs(limited.map(({ entry }) => entry.id));
   return refuse(scheduler, job, RefusalReason.RateLimit, 0, nowMs, availableInMs);
 }
 
--- a/packages/coordination/src/core/scheduling/refusing.ts
+++ b/packages/coordination/src/core/scheduling/refusing.ts
@@ -63,7 +63,7 @@
     reason,
     retryAfterMs,
     aheadMs,
-    waitingJobs: scheduler.waiting.size,
+    waitingJobs: scheduler.queuedJobs.size,
   };
   recordRefusal(scheduler.refusedRequests, job, nowMs);
   recordDecision(scheduler, job, decision, nowMs);
@@ -88,7 +88,7 @@
  */
 export function refuseUnservableJobs(scheduler: Scheduler, nowMs: number): readonly Decision[] {
   const decisions: Decision[] = [];
-  for (const queuedJob of [...scheduler.waiting.values()]) {
+  for (const queuedJob of [...scheduler.queuedJobs.values()]) {
     const { job, lastPolledAtMs, target } = queuedJob;
     if (lastPolledAtMs + scheduler.options.abandonedAfterMs < nowMs) {
       dequeue(scheduler, job.id);
--- a/packages/coordination/src/core/scheduling/scheduler-state.ts
+++ b/packages/coordination/src/core/scheduling/scheduler-state.ts
@@ -51,7 +51,7 @@
   /** Whether engines that announce a rate limit may be sent another request. */
   readonly permits: Permits;
   readonly targets: Map<string, TargetLoad>;
-  readonly waiting: Map<string, QueuedJob>;
+  readonly queuedJobs: Map<string, QueuedJob>;
   /** The same jobs by the engine in whose queue they are. */
   readonly queues: Map<string, Set<QueuedJob>>;
   /** Decided jobs by job id, so that a repeated request gets the same answer. */
@@ -75,7 +75,7 @@
     options,
     permits,
     targets: new Map(),
-    waiting: new Map(),
+    queuedJobs: new Map(),
     queues: new Map(),
     decided: new Map(),
     sizes: createRouteSizes(),
@@ -88,7 +88,7 @@
 }
 
 /** Updates the targets of the service, keeping the state of those that remain. */
-export function noteEngines(
+export function syncEngines(
   scheduler: Scheduler,
   entries: readonly TargetEntry[],
   spec: EngineSpec,
@@ -130,7 +130,7 @@
  * models are outdated. Without this refresh, every engine prefills the shared parts again after a
  * change of scheduler.
  */
-export function enginesToList(scheduler: Scheduler, nowMs: number): readonly string[] {
+export function enginesWithStaleCache(scheduler: Scheduler, nowMs: number): readonly string[] {
   const isStale = nowMs - scheduler.lastRequestAtMs > scheduler.options.staleAfterMs;
   scheduler.lastRequestAtMs = nowMs;
   return isStale ? [...scheduler.targets.keys()] : [];
--- a/packages/coordination/src/core/scheduling/scheduler.ts
+++ b/packages/coordination/src/core/scheduling/scheduler.ts
@@ -30,7 +30,7 @@
 export function submitJob(scheduler: Scheduler, job: Job, nowMs: number): readonly Decision[] {
   const decided = scheduler.decided.get(job.id);
   if (decided !== undefined) return [decided.decision];
-  const alreadyQueued = scheduler.waiting.get(job.id);
+  const alreadyQueued = scheduler.queuedJobs.get(job.id);
   if (alreadyQueued !== undefined) {
     alreadyQueued.lastPolledAtMs = nowMs;
     return [];
@@ -47,7 +47,7 @@
 }
 
 /** Handles the events that a gateway reports about its jobs. */
-export function noteJobEvents(
+export function handleJobEvents(
   scheduler: Scheduler,
   events: readonly JobEvent[],
   nowMs: number,
--- a/packages/coordination/src/core/scheduling/waiting-lines.ts
+++ b/packages/coordination/src/core/scheduling/waiting-lines.ts
@@ -14,7 +14,7 @@
 /** Adds a job to the queue of an engine. */
 export function enqueue(scheduler: Scheduler, queuedJob: QueuedJob, engineId: string): void {
   queuedJob.target = engineId;
-  scheduler.waiting.set(queuedJob.job.id, queuedJob);
+  scheduler.queuedJobs.set(queuedJob.job.id, queuedJob);
   const queue = scheduler.queues.get(engineId);
   if (queue === undefined) scheduler.queues.set(engineId, new Set([queuedJob]));
   else queue.add(queuedJob);
@@ -22,9 +22,9 @@
 
 /** Removes a job from its queue. */
 export function dequeue(scheduler: Scheduler, jobId: string): void {
-  const queuedJob = scheduler.waiting.get(jobId);
+  const queuedJob = scheduler.queuedJobs.get(jobId);
   if (queuedJob === undefined) return;
-  scheduler.waiting.delete(jobId);
+  scheduler.queuedJobs.delete(jobId);
   const queue = scheduler.queues.get(queuedJob.target);
   queue?.delete(queuedJob);
   if (queue?.size === 0) scheduler.queues.delete(queuedJob.target);
--- a/packages/coordination/src/index.ts
+++ b/packages/coordination/src/index.ts
@@ -49,7 +49,7 @@
 export * from './core/routing/router.js';
 export * from './core/admission/admission.js';
 export * from './core/admission/failures.js';
-export { isBorrowing, type Waiting as FairWaiting } from './core/admission/fair-queue.js';
+export { isBorrowing, type QueuedRequest as FairWaiting } from './core/admission/fair-queue.js';
 
 export * from './core/admission/limits.js';
 export * from './core/admission/shedding.js';
--- a/packages/coordination/test/core/admission/admission.test.ts
+++ b/packages/coordination/test/core/admission/admission.test.ts
@@ -8,9 +8,9 @@
   PumpResult,
   RouteKind,
   mayStart,
-  sidecarTakes,
+  sidecarAccepts,
   SERVICE_SHED,
-  takeBack,
+  requeueRefused,
   WAIT_TOO_LONG,
   WORKSPACE_LIMIT,
   QUEUE_FULL,
@@ -27,7 +27,7 @@
     weight: 1,
     maxTokensPerS: null,
     costTokens: 1000,
-    patienceMs: 300,
+    maxWaitMs: 300,
     item,
     ...overrides,
   };
@@ -71,7 +71,7 @@
     it('is rejected at once when the predicted wait is too long', () => {
       const admission = createTestAdmission();
       for (let nowMs = 0; nowMs < 2000; nowMs += 20) {
-        offer(admission, requestOf('r', { patienceMs: 10_000 }), nowMs);
+        offer(admission, requestOf('r', { maxWaitMs: 10_000 }), nowMs);
         let sent = 0;
         pump(admission, nowMs, () =>
           sent++ === 0 && nowMs % 200 === 0 ? PumpResult.Sent : PumpResult.Wait,
@@ -127,7 +127,7 @@
         return PumpResult.Sent;
       });
       assert.ok(dequeued);
-      assert.equal(takeBack(admission, dequeued), null);
+      assert.equal(requeueRefused(admission, dequeued), null);
       assert.equal(admission.queue.heap.length, 1);
     });
   });
@@ -152,8 +152,8 @@
     });
 
     it('lets a sidecar reject a request that its own queue would delay too long', () => {
-      assert.equal(sidecarTakes({ aheadMs: 100 }, 50, 300), true);
-      assert.equal(sidecarTakes({ aheadMs: 300 }, 50, 300), false);
+      assert.equal(sidecarAccepts({ aheadMs: 100 }, 50, 300), true);
+      assert.equal(sidecarAccepts({ aheadMs: 300 }, 50, 300), false);
     });
   });
 });
--- a/packages/coordination/test/core/authority/lease-holder.test.ts
+++ b/packages/coordination/test/core/authority/lease-holder.test.ts
@@ -58,8 +58,8 @@
 
     it('makes a new holder wait until the tickets of its predecessor have expired', () => {
       const state = heldLease();
-      assert.equal(mayOrder(state, 3 + LEASE_OPTIONS.waitOutMs - 1), false);
-      assert.equal(mayOrder(state, 3 + LEASE_OPTIONS.waitOutMs), true);
+      assert.equal(mayOrder(state, 3 + LEASE_OPTIONS.takeoverDelayMs - 1), false);
+      assert.equal(mayOrder(state, 3 + LEASE_OPTIONS.takeoverDelayMs), true);
     });
 
     /**
--- a/packages/coordination/test/core/authority/order-gate.test.ts
+++ b/packages/coordination/test/core/authority/order-gate.test.ts
@@ -151,7 +151,7 @@
      */
     it('is verified again when the sidecar was paused after the lease was read', () => {
       const gate = readyGate();
-      const lateMs = READY_MS + GATE_OPTIONS.checkToActMs + 1;
+      const lateMs = READY_MS + GATE_OPTIONS.maxLeaseReadAgeMs + 1;
       const again = gateLeaseRead(gate, submit(gate, 'o1', READY_MS), PLANNER, at(lateMs));
       assert.deepEqual(kinds(again), [GateEffectKind.ReadLease]);
       const successor = { planner: 'q:1', fence: 6 };
@@ -172,7 +172,7 @@
     it('waits a limited time for the lease and for the engine', () => {
       const unread = readyGate();
       submit(unread, 'o1', READY_MS);
-      const overMs = READY_MS + GATE_OPTIONS.ticketValidMs + GATE_OPTIONS.checkToActMs;
+      const overMs = READY_MS + GATE_OPTIONS.ticketValidMs + GATE_OPTIONS.maxLeaseReadAgeMs;
       assert.deepEqual(tickGate(unread, at(overMs - 1)), []);
       assert.equal(failureName(tickGate(unread, at(overMs))), 'authority-unverifiable');
       const unanswered = readyGate();
--- a/packages/coordination/test/core/authority/order-giver.test.ts
+++ b/packages/coordination/test/core/authority/order-giver.test.ts
@@ -5,7 +5,7 @@
 import {
   OrderEffectKind,
   OrderStatus,
-  giveOrder,
+  startOrder,
   orderReported,
   submissionAnswered,
   submissionLost,
@@ -22,7 +22,7 @@
 const TICKET = { ticketId: 'x', fence: 5, validMs: 5_000 };
 
 function submittedOrder(): OrderState {
-  const { state } = giveOrder('o1', 5, { kind: 'set-role' }, at(0));
+  const { state } = startOrder('o1', 5, { kind: 'set-role' }, at(0));
   const [submit] = ticketReceived(state, TICKET, at(10));
   assert.ok(submit?.kind === OrderEffectKind.Submit && submit.ticketId === 'x');
   return state;
@@ -40,8 +40,8 @@
 describe('an order at its planner', () => {
   describe('without authority', () => {
     it('ends at once, also when authority was lost while the ticket was in transit', () => {
-      assert.equal(endFailureName(giveOrder('o1', 5, {}, at(0, false)).effects), 'order-not-done');
-      const { state } = giveOrder('o1', 5, {}, at(0));
+      assert.equal(endFailureName(startOrder('o1', 5, {}, at(0, false)).effects), 'order-not-done');
+      const { state } = startOrder('o1', 5, {}, at(0));
       assert.equal(endFailureName(ticketReceived(state, TICKET, at(10, false))), 'order-not-done');
     });
   });
@@ -49,7 +49,7 @@
   describe('with a ticket', () => {
     it('ends when the ticket or the submission is rejected', () => {
       const failure = ticketInvalid.of({ ticketId: 'x' });
-      const { state } = giveOrder('o1', 5, {}, at(0));
+      const { state } = startOrder('o1', 5, {}, at(0));
       assert.equal(endFailureName(ticketRefused(state, failure)), 'ticket-invalid');
       assert.equal(
         endFailureName(submissionAnswered(submittedOrder(), failure, at(20))),
@@ -58,7 +58,7 @@
     });
 
     it('waits a limited time for a ticket', () => {
-      const { state } = giveOrder('o1', 5, {}, at(0));
+      const { state } = startOrder('o1', 5, {}, at(0));
       assert.deepEqual(tickOrder(state, at(2_999)), []);
       assert.equal(endFailureName(tickOrder(state, at(3_000))), 'order-not-done');
     });
--- a/packages/coordination/test/core/claims/aggregator.test.ts
+++ b/packages/coordination/test/core/claims/aggregator.test.ts
@@ -16,7 +16,7 @@
 import { ClaimReplyKind, claimKeyOf } from '../../../src/core/claims/claim.js';
 import {
   ClaimClientEffectKind,
-  askClaim,
+  requestClaim,
   createClaimClient,
   onClaimReply,
   tickClaimClient,
@@ -53,7 +53,7 @@
   }
 
   ask(callId: string, request: ReturnType<typeof requestOf>): this {
-    return this.feed({ kind: AggregatorEventKind.Asked, callId, request });
+    return this.feed({ kind: AggregatorEventKind.Requested, callId, request });
   }
 
   /** Fires the batch timer, and grants a lease if the aggregator requests one. */
@@ -134,8 +134,8 @@
   it('resends, gives up after a timeout, and accepts only the first answer', () => {
     const { resendAfterMs, giveUpAfterMs } = DEFAULT_CLAIM_CLIENT_OPTIONS;
     const state = createClaimClient();
-    askClaim(state, 'one', requestOf('a', 'a/1'), context(0));
-    const rejected = askClaim(state, 'two', requestOf('b', 'b/1'), context(0));
+    requestClaim(state, 'one', requestOf('a', 'a/1'), context(0));
+    const rejected = requestClaim(state, 'two', requestOf('b', 'b/1'), context(0));
     assert.equal(rejected[0]?.kind, ClaimClientEffectKind.Decided);
     const [resent] = tickClaimClient(state, context(resendAfterMs));
     assert.equal(resent?.kind, ClaimClientEffectKind.Send);
--- a/packages/coordination/test/core/config/keeper.test.ts
+++ b/packages/coordination/test/core/config/keeper.test.ts
@@ -13,7 +13,7 @@
   configHeadRead,
   configHeadReadFailed,
   configHints,
-  configHintsHeard,
+  configHintsReceived,
   configWatchEnded,
   createConfigState,
   diffConfigurations,
@@ -160,14 +160,14 @@
   describe('freshness', () => {
     it('counts from the time of the own request, minus the age in the answer', () => {
       const state = stateHolding(1, 0);
-      configHintsHeard(state, 'peer:1', [1, 2_000], 10_000, context(10_200));
+      configHintsReceived(state, 'peer:1', [1, 2_000], 10_000, context(10_200));
       assert.equal(state.freshAtMs, 8_000);
       assert.deepEqual(configHints(state, 10_500), [1, 2_500]);
     });
 
     it('of a newer version counts once that version is active', () => {
       const state = stateHolding(1, 0);
-      configHintsHeard(state, 'peer:1', [2, 0], 10_000, context(10_200));
+      configHintsReceived(state, 'peer:1', [2, 0], 10_000, context(10_200));
       assert.equal(state.freshAtMs, 500);
       configFetchAnswered(state, { patches: null, whole: held(2) }, context(10_300));
       assert.equal(state.freshAtMs, 10_000);
@@ -176,7 +176,7 @@
     // A datagram that was delayed for an hour claims an age of half a second.
     it('does not count from a message that was not requested', () => {
       const state = stateHolding(1, 0);
-      configHintsHeard(state, 'peer:1', [1, 500], null, context(3_600_000));
+      configHintsReceived(state, 'peer:1', [1, 500], null, context(3_600_000));
       assert.equal(state.freshAtMs, 500);
     });
   });
@@ -217,7 +217,7 @@
     it('lets a process continue when it receives proof of freshness again', () => {
       const state = stateHolding(1, 0);
       assert.equal(tickUntil(state, 1_000, 60_000, seesNoMember), false);
-      configHintsHeard(state, 'peer:1', [1, 1_000], 60_500, context(60_600));
+      configHintsReceived(state, 'peer:1', [1, 1_000], 60_500, context(60_600));
       assert.equal(tickUntil(state, 61_000, 62_000, seesNoMember), true);
     });
 
--- a/packages/coordination/test/core/dependencies/budget.test.ts
+++ b/packages/coordination/test/core/dependencies/budget.test.ts
@@ -4,7 +4,7 @@
 import {
   acceptBudget,
   MAX_RETRIES_PER_REQUEST,
-  passOnBudget,
+  deriveInnerBudget,
   takeRetry,
 } from '../../../src/core/dependencies/budget.js';
 
@@ -27,7 +27,7 @@
 
   describe('when passed on', () => {
     it('are reduced by the elapsed time and a reserve', () => {
-      const passed = passOnBudget({ remainingMs: 10_000, retriesLeft: 1 }, 2_000);
+      const passed = deriveInnerBudget({ remainingMs: 10_000, retriesLeft: 1 }, 2_000);
       assert.deepEqual(passed, { remainingMs: 7_600, retriesLeft: 1 });
     });
 
@@ -35,7 +35,7 @@
       let budget = acceptBudget({ deadlineMs: 1_000 }, null);
       let levels = 0;
       for (;;) {
-        const passed = passOnBudget(budget, 50);
+        const passed = deriveInnerBudget(budget, 50);
         if (passed === null) break;
         assert.ok(passed.remainingMs < budget.remainingMs);
         budget = passed;
@@ -49,7 +49,7 @@
     it('are shared by the whole call tree', () => {
       const first = takeRetry({ remainingMs: 100, retriesLeft: 2 });
       assert.ok(first);
-      const passed = passOnBudget(first, 0);
+      const passed = deriveInnerBudget(first, 0);
       assert.equal(passed?.retriesLeft, 1);
       const second = takeRetry(first);
       assert.equal(second && takeRetry(second), null);
--- a/packages/coordination/test/core/drain/planned-changes.test.ts
+++ b/packages/coordination/test/core/drain/planned-changes.test.ts
@@ -27,7 +27,7 @@
 
 function change(target: string, changes: Partial<ChangeRequest> = {}): ChangeRequest {
   const [name = ''] = target.split('-');
-  const defaults = { kind: ChangeKind.RoleChange, forced: false, askedAtMs: 0 };
+  const defaults = { kind: ChangeKind.RoleChange, forced: false, requestedAtMs: 0 };
   return { id: target, service: name, target, ...defaults, ...changes };
 }
 
@@ -85,7 +85,7 @@
     });
 
     it('admit a forced change first and make the others wait for it', () => {
-      const requests = [change('a-1'), change('a-0', { forced: true, askedAtMs: 9 })];
+      const requests = [change('a-1'), change('a-0', { forced: true, requestedAtMs: 9 })];
       const { admitted, waiting } = admitChanges([service('a', 3, 2)], requests, NONE);
       assert.deepEqual(
         admitted.map((request) => request.target),
--- a/packages/coordination/test/core/events/outage.test.ts
+++ b/packages/coordination/test/core/events/outage.test.ts
@@ -3,8 +3,8 @@
 import { describe, it } from 'node:test';
 import {
   createOutageWatch,
-  noteFailure,
-  noteSuccess,
+  recordCallFailure,
+  recordCallSuccess,
   OUTAGE_FAILURES,
   OutageChange,
 } from '../../../src/core/events/outage.js';
@@ -12,7 +12,9 @@
 describe('an outage', () => {
   it('begins once, after several consecutive failures', () => {
     const watch = createOutageWatch();
-    const changes = Array.from({ length: 5 }, (_, index) => noteFailure(watch, index * 1_000));
+    const changes = Array.from({ length: 5 }, (_, index) =>
+      recordCallFailure(watch, index * 1_000),
+    );
     assert.deepEqual(changes.indexOf(OutageChange.Began), OUTAGE_FAILURES - 1);
     assert.equal(changes.filter((change) => change !== OutageChange.None).length, 1);
     assert.equal(watch.outSinceMs, (OUTAGE_FAILURES - 1) * 1_000);
@@ -20,16 +22,16 @@
 
   it('ends at the first success', () => {
     const watch = createOutageWatch();
-    for (let call = 0; call < OUTAGE_FAILURES; call += 1) noteFailure(watch, call);
-    assert.equal(noteSuccess(watch), OutageChange.Ended);
-    assert.equal(noteSuccess(watch), OutageChange.None);
+    for (let call = 0; call < OUTAGE_FAILURES; call += 1) recordCallFailure(watch, call);
+    assert.equal(recordCallSuccess(watch), OutageChange.Ended);
+    assert.equal(recordCallSuccess(watch), OutageChange.None);
   });
 
   it('does not begin because of isolated failures', () => {
     const watch = createOutageWatch();
     for (let call = 0; call < 100; call += 1) {
-      assert.equal(noteFailure(watch, call), OutageChange.None);
-      assert.equal(noteSuccess(watch), OutageChange.None);
+      assert.equal(recordCallFailure(watch, call), OutageChange.None);
+      assert.equal(recordCallSuccess(watch), OutageChange.None);
     }
   });
 });
--- a/packages/coordination/test/core/forwarding/crash-memory.test.ts
+++ b/packages/coordination/test/core/forwarding/crash-memory.test.ts
@@ -3,11 +3,11 @@
 import { beforeEach, describe, it } from 'node:test';
 import {
   type CrashMemory,
-  clearContent,
+  markContentHarmless,
   createCrashMemory,
   removeCrash,
   isConvictedContent,
-  rememberCrash,
+  addCrash,
 } from '../../../src/index.js';
 
 describe('crash memory', () => {
@@ -20,22 +20,22 @@
   // A malformed history crashes one engine after another, along with all other requests that run
   // there: its caller keeps retrying it, and no single gateway sees more than one of the crashes.
   it('convicts a content that crashed three targets', () => {
-    rememberCrash(memory, { content: 'history', target: 't1' });
-    rememberCrash(memory, { content: 'history', target: 't2' });
+    addCrash(memory, { content: 'history', target: 't1' });
+    addCrash(memory, { content: 'history', target: 't2' });
     assert.equal(isConvictedContent(memory, 'history'), false);
-    rememberCrash(memory, { content: 'history', target: 't3' });
+    addCrash(memory, { content: 'history', target: 't3' });
     assert.equal(isConvictedContent(memory, 'history'), true);
   });
 
   it('counts a crash once, however often it is reported', () => {
     for (let report = 0; report < 5; report += 1) {
-      rememberCrash(memory, { content: 'history', target: 't1' });
+      addCrash(memory, { content: 'history', target: 't1' });
     }
     assert.equal(isConvictedContent(memory, 'history'), false);
   });
 
   it('does not count a removed crash', () => {
-    for (const target of ['t1', 't2', 't3']) rememberCrash(memory, { content: 'h', target });
+    for (const target of ['t1', 't2', 't3']) addCrash(memory, { content: 'h', target });
     removeCrash(memory, { content: 'h', target: 't1' });
     assert.equal(isConvictedContent(memory, 'h'), false);
   });
@@ -43,26 +43,26 @@
   // Many callers fetch the same report while targets crash for other reasons. Without this rule, the
   // report is rejected for a minute although a target delivers it completely to other callers.
   it('does not convict a content that a target ran to completion', () => {
-    for (const target of ['t1', 't2', 't3']) rememberCrash(memory, { content: 'r', target });
-    clearContent(memory, 'r');
+    for (const target of ['t1', 't2', 't3']) addCrash(memory, { content: 'r', target });
+    markContentHarmless(memory, 'r');
     assert.equal(isConvictedContent(memory, 'r'), false);
   });
 
   it('returns the crashes of a content that ran to completion, to be deleted for all gateways', () => {
-    rememberCrash(memory, { content: 'r', target: 't1' });
-    assert.deepEqual(clearContent(memory, 'r'), [{ content: 'r', target: 't1' }]);
-    assert.deepEqual(clearContent(memory, 'r'), []);
+    addCrash(memory, { content: 'r', target: 't1' });
+    assert.deepEqual(markContentHarmless(memory, 'r'), [{ content: 'r', target: 't1' }]);
+    assert.deepEqual(markContentHarmless(memory, 'r'), []);
   });
 
   it('does not convict a content that a target ran to completion earlier', () => {
-    clearContent(memory, 'r');
-    for (const target of ['t1', 't2', 't3']) rememberCrash(memory, { content: 'r', target });
+    markContentHarmless(memory, 'r');
+    for (const target of ['t1', 't2', 't3']) addCrash(memory, { content: 'r', target });
     assert.equal(isConvictedContent(memory, 'r'), false);
   });
 
   it('keeps a bounded number of harmless contents', () => {
     for (let content = 0; content < 3000; content += 1) {
-      clearContent(memory, String(content));
+      markContentHarmless(memory, String(content));
     }
     assert.equal(memory.cleared.size, 1024);
   });
--- a/packages/coordination/test/core/forwarding/event-framing.test.ts
+++ b/packages/coordination/test/core/forwarding/event-framing.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import * as fc from 'fast-check';
-import { createEventFraming, hasPartialEvent, takeEventBytes } from '../../../src/index.js';
+import { createEventFraming, hasPartialEvent, addEventBytes } from '../../../src/index.js';
 
 describe('event framing', () => {
   it('forwards complete events, however the bytes are split', () => {
@@ -19,7 +19,7 @@
         const offsets = [0, ...cuts.sort((a, b) => a - b), bytes.length];
         const parts = offsets
           .slice(1)
-          .map((end, index) => takeEventBytes(framing, bytes.subarray(offsets[index], end)));
+          .map((end, index) => addEventBytes(framing, bytes.subarray(offsets[index], end)));
         assert.equal(Buffer.concat(parts).toString(), bytes.toString());
         assert.equal(hasPartialEvent(framing), false);
         assert.equal(framing.lastEventId, '3');
@@ -32,7 +32,7 @@
   // receive it before the complete event that another engine sends.
   it('withholds an event that an engine did not complete', () => {
     const framing = createEventFraming();
-    const whole = takeEventBytes(framing, Buffer.from('id: 1\ndata: a\n\nid: 2\ndata: b'));
+    const whole = addEventBytes(framing, Buffer.from('id: 1\ndata: a\n\nid: 2\ndata: b'));
     assert.equal(whole.toString(), 'id: 1\ndata: a\n\n');
     assert.equal(hasPartialEvent(framing), true);
     assert.equal(framing.lastEventId, '1');
--- a/packages/coordination/test/core/forwarding/fleet-view.test.ts
+++ b/packages/coordination/test/core/forwarding/fleet-view.test.ts
@@ -11,11 +11,11 @@
   applyChanges,
   applyListing,
   createFleetView,
-  hasStartedAgain,
-  noteStoreAnswer,
+  hasRestarted,
+  recordStoreAnswer,
   servingTarget,
   servingTargets,
-  settleDoubts,
+  removeMissingTargets,
 } from '../../../src/index.js';
 
 const SERVICE = 'inspect-llm';
@@ -46,7 +46,7 @@
 
   beforeEach(() => {
     view = createFleetView();
-    noteStoreAnswer(view, 0);
+    recordStoreAnswer(view, 0);
     applyListing(view, [target('a', 1), target('b', 2)], 5, 0);
   });
 
@@ -92,23 +92,23 @@
     const backAtMs = OUTAGE_INACTIVITY_MS + 1000;
 
     beforeEach(() => {
-      noteStoreAnswer(view, backAtMs);
+      recordStoreAnswer(view, backAtMs);
       applyChanges(view, [removed('a', 6)], 6, backAtMs);
     });
 
     it('keeps a target whose entry is missing during the grace period', () => {
-      settleDoubts(view, backAtMs + EXPIRY_GRACE_MS - 1);
+      removeMissingTargets(view, backAtMs + EXPIRY_GRACE_MS - 1);
       assert.deepEqual(serving(), ['a', 'b']);
     });
 
     it('keeps a target whose entry reappears', () => {
       applyChanges(view, [target('a', 7)], 7, backAtMs + 500);
-      settleDoubts(view, backAtMs + EXPIRY_GRACE_MS);
+      removeMissingTargets(view, backAtMs + EXPIRY_GRACE_MS);
       assert.deepEqual(serving(), ['a', 'b']);
     });
 
     it('removes a target whose entry is still missing after the grace period', () => {
-      settleDoubts(view, backAtMs + EXPIRY_GRACE_MS);
+      removeMissingTargets(view, backAtMs + EXPIRY_GRACE_MS);
       assert.deepEqual(serving(), ['b']);
     });
 
@@ -154,9 +154,9 @@
 
     it('is reported as restarted for an entry of its earlier start', () => {
       const before = servingTarget(view, 'a', 0);
-      assert.ok(before !== null && !hasStartedAgain(view, before));
+      assert.ok(before !== null && !hasRestarted(view, before));
       applyChanges(view, [target('a', 6, false, 2000)], 6, 100);
-      assert.ok(hasStartedAgain(view, before));
+      assert.ok(hasRestarted(view, before));
     });
   });
 });
--- a/packages/coordination/test/core/forwarding/news-pace.test.ts
+++ b/packages/coordination/test/core/forwarding/news-pace.test.ts
@@ -2,10 +2,10 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import {
-  createNewsPace,
-  newsPaceOptions,
+  createPollInterval,
+  pollIntervalOptions,
   pauseAfterFailureMs,
-  pauseAfterNewsMs,
+  pauseAfterAnswerMs,
 } from '../../../src/core/forwarding/news-pace.js';
 
 const APPLY_WITHIN_MS = 4000;
@@ -16,19 +16,19 @@
 
 /** Counts the polls in a period in which each is answered at once, because targets keep writing. */
 function pollsIn(forMs: number, applyWithinMs: number): number {
-  const poll = createNewsPace(newsPaceOptions(applyWithinMs));
+  const poll = createPollInterval(pollIntervalOptions(applyWithinMs));
   let nowMs = 0;
   let polls = 0;
   while (nowMs < forMs) {
     polls += 1;
-    nowMs += CALL_MS + pauseAfterNewsMs(poll, nowMs);
+    nowMs += CALL_MS + pauseAfterAnswerMs(poll, nowMs);
   }
   return polls;
 }
 
 /** Counts the polls in an outage in which each fails at once. */
 function pollsInOutage(forMs: number, random: () => number): number {
-  const poll = createNewsPace(newsPaceOptions(APPLY_WITHIN_MS));
+  const poll = createPollInterval(pollIntervalOptions(APPLY_WITHIN_MS));
   let nowMs = 0;
   let polls = 0;
   while (nowMs < forMs) {
@@ -47,17 +47,17 @@
     });
 
     it('leaves time for a slow answer and a failed poll', () => {
-      const poll = createNewsPace(newsPaceOptions(APPLY_WITHIN_MS));
-      pauseAfterNewsMs(poll, 0);
-      const pauseMs = pauseAfterNewsMs(poll, 60_000);
+      const poll = createPollInterval(pollIntervalOptions(APPLY_WITHIN_MS));
+      pauseAfterAnswerMs(poll, 0);
+      const pauseMs = pauseAfterAnswerMs(poll, 60_000);
       const failedMs = pauseAfterFailureMs(poll, () => 1);
       assert.ok(pauseMs + failedMs + SLOW_CALL_MS <= APPLY_WITHIN_MS);
     });
 
     it('polls more often while gateways that started together find each other', () => {
-      const poll = createNewsPace(newsPaceOptions(APPLY_WITHIN_MS));
-      const first = pauseAfterNewsMs(poll, 1000);
-      assert.ok(first < pauseAfterNewsMs(poll, 61_000));
+      const poll = createPollInterval(pollIntervalOptions(APPLY_WITHIN_MS));
+      const first = pauseAfterAnswerMs(poll, 1000);
+      assert.ok(first < pauseAfterAnswerMs(poll, 61_000));
     });
   });
 
@@ -69,8 +69,8 @@
     });
 
     it('does not poll in step with other gateways', () => {
-      const early = createNewsPace(newsPaceOptions(APPLY_WITHIN_MS));
-      const late = createNewsPace(newsPaceOptions(APPLY_WITHIN_MS));
+      const early = createPollInterval(pollIntervalOptions(APPLY_WITHIN_MS));
+      const late = createPollInterval(pollIntervalOptions(APPLY_WITHIN_MS));
       assert.notEqual(
         pauseAfterFailureMs(early, () => 0),
         pauseAfterFailureMs(late, () => 1),
@@ -78,7 +78,7 @@
     });
 
     it('polls again within a quarter of the time within which a change must be applied', () => {
-      const poll = createNewsPace(newsPaceOptions(APPLY_WITHIN_MS));
+      const poll = createPollInterval(pollIntervalOptions(APPLY_WITHIN_MS));
       const pauses = Array.from({ length: 20 }, () => pauseAfterFailureMs(poll, () => 1));
       assert.ok(Math.max(...pauses) <= APPLY_WITHIN_MS / 4);
     });
--- a/packages/coordination/test/core/forwarding/retry-window.test.ts
+++ b/packages/coordination/test/core/forwarding/retry-window.test.ts
@@ -2,14 +2,18 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import * as fc from 'fast-check';
-import { createRetryWindow, noteWindowRequest, takeWindowRetries } from '../../../src/index.js';
+import {
+  createRetryWindow,
+  recordWindowRequest,
+  reserveWindowRetries,
+} from '../../../src/index.js';
 
 const OPTIONS = { windowMs: 10_000, ratio: 0.2, slack: 58 };
 
 describe('a retry window', () => {
   it('allows retries from its slack while there are no requests', () => {
     const window = createRetryWindow(OPTIONS);
-    const taken = Array.from({ length: 100 }, () => takeWindowRetries(window, 1, 1, 0)).filter(
+    const taken = Array.from({ length: 100 }, () => reserveWindowRetries(window, 1, 1, 0)).filter(
       Boolean,
     );
     assert.equal(taken.length, OPTIONS.slack / 2);
@@ -17,9 +21,9 @@
 
   it('allows retries again after the window has passed', () => {
     const window = createRetryWindow({ ...OPTIONS, slack: 2 });
-    assert.equal(takeWindowRetries(window, 1, 1, 0), true);
-    assert.equal(takeWindowRetries(window, 1, 1, 9_999), false);
-    assert.equal(takeWindowRetries(window, 1, 1, 10_001), true);
+    assert.equal(reserveWindowRetries(window, 1, 1, 0), true);
+    assert.equal(reserveWindowRetries(window, 1, 1, 9_999), false);
+    assert.equal(reserveWindowRetries(window, 1, 1, 10_001), true);
   });
 
   // A service fails for ten seconds and each gateway sends as many retries as it may. If the gateways
@@ -38,8 +42,8 @@
           assert.ok(window);
           if (!retry) {
             requests.push(nowMs);
-            noteWindowRequest(window, nowMs);
-          } else if (takeWindowRetries(window, 2, 5, nowMs)) {
+            recordWindowRequest(window, nowMs);
+          } else if (reserveWindowRetries(window, 2, 5, nowMs)) {
             retries.push(nowMs, nowMs);
           }
           const within = (times: readonly number[]): number =>
--- a/packages/coordination/test/core/loads/load-planner.test.ts
+++ b/packages/coordination/test/core/loads/load-planner.test.ts
@@ -1,7 +1,7 @@
 /** Planning of loads within the rate of the weight store. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import type { LoadWish, StoreStatus } from '../../../src/index.js';
+import type { LoadRequest, StoreStatus } from '../../../src/index.js';
 import {
   LOAD_OPTIONS,
   LoadOutcome,
@@ -13,7 +13,7 @@
 
 const STORE: StoreStatus = { rateMbPerS: 100, activeFetches: 0, retryAfterMs: 0 };
 
-function loadOf(index: number, changes: Partial<LoadWish> = {}): LoadWish {
+function loadOf(index: number, changes: Partial<LoadRequest> = {}): LoadRequest {
   return {
     target: `t${String(index)}`,
     service: 'a',
