--- a/packages/stand-ins/src/core/engine/batch.ts
+++ b/packages/stand-ins/src/core/engine/batch.ts
@@ -1,7 +1,7 @@
 /**
- * Continuous batching as a pure model: requests join and leave the batch at each step, prompts are
- * computed in chunks beside running answers, and a step takes longer the larger its batch and
- * context. The caller waits for the step's duration before it hands on what the step brought.
+ * Models continuous batching without timers or I/O. Requests join and leave the batch at each step,
+ * prompts are prefilled in chunks alongside decoding requests, and a step takes longer with a larger
+ * batch and context. The caller waits for the step's duration before it delivers the emissions.
  */
 import type { EngineRequest } from '@cassiamast/ports';
 import { FinishReason } from '@cassiamast/ports';
@@ -13,23 +13,23 @@
 import { cachedPrefixTokens, shrinkTo, storeBlocks } from './prefix-cache.js';
 import type { TokenizedPrompt } from './prompt.js';
 
-/** One request in the engine. */
+/** Progress of one request in the engine. */
 export interface Work {
   readonly request: EngineRequest;
   readonly prompt: TokenizedPrompt;
   readonly source: AnswerSource;
-  /** Order of arrival, among requests of equal priority. */
+  /** Arrival number, which orders requests of equal priority. */
   readonly arrival: number;
-  /** Prompt tokens whose KV cache was brought from another engine. */
+  /** Prompt tokens whose KV cache was imported from another engine. */
   readonly importedTokens: number;
   cachedTokens: number;
-  /** Tokens still to compute before the next token of the answer. */
+  /** Tokens left to prefill before the next token of the answer. */
   toPrefill: number;
   /** Position of the next token in the whole answer. */
   nextIndex: number;
 }
 
-/** The batch and its waiting line. */
+/** The running batch and the queue of waiting requests. */
 export interface Batch {
   role: EngineRole;
   waiting: Work[];
@@ -37,16 +37,16 @@
   arrivals: number;
 }
 
-/** What a step brings to one stream. */
+/** Kinds of results that a step can have for a stream. */
 export enum EmissionKind {
   Token = 'token',
   Finished = 'finished',
   OutOfCacheMemory = 'out-of-cache-memory',
-  /** The request kills the engine. */
+  /** The request crashes the engine. */
   Crash = 'crash',
 }
 
-/** One thing that a step brings. */
+/** One result of a step for one stream. */
 export interface Emission {
   readonly kind: EmissionKind;
   readonly work: Work;
@@ -55,20 +55,20 @@
   readonly reason?: FinishReason;
 }
 
-/** A step. */
+/** A computed step: its duration and its results. */
 export interface Step {
   readonly durationMs: number;
   readonly emissions: readonly Emission[];
-  /** Requests that entered the batch: from now on they run. */
+  /** Requests that entered the batch in this step and count as run. */
   readonly admitted: readonly Work[];
 }
 
-/** An empty batch. */
+/** Creates an empty batch. */
 export function createBatch(role: EngineRole): Batch {
   return { role, waiting: [], running: [], arrivals: 0 };
 }
 
-/** Puts a request in the waiting line, before those of lower priority. */
+/** Adds a request to the queue, ahead of requests of lower priority. */
 export function enqueue(
   batch: Batch,
   request: EngineRequest,
@@ -86,29 +86,29 @@
     toPrefill: prompt.tokens,
     nextIndex: request.continueFrom.length,
   };
-  const behind = batch.waiting.findIndex((other) => other.request.priority < request.priority);
-  batch.waiting.splice(behind === -1 ? batch.waiting.length : behind, 0, work);
+  const insertAt = batch.waiting.findIndex((other) => other.request.priority < request.priority);
+  batch.waiting.splice(insertAt === -1 ? batch.waiting.length : insertAt, 0, work);
   return work;
 }
 
-/** Takes a request out, wherever it is. */
+/** Removes a request from the queue or the running batch. */
 export function removeWork(batch: Batch, streamId: string): void {
-  const others = (work: Work): boolean => work.request.streamId !== streamId;
-  batch.waiting = batch.waiting.filter(others);
-  batch.running = batch.running.filter(others);
+  const isOther = (work: Work): boolean => work.request.streamId !== streamId;
+  batch.waiting = batch.waiting.filter(isOther);
+  batch.running = batch.running.filter(isOther);
 }
 
-/** Tokens of KV cache that a running request holds. */
+/** Returns the tokens of KV cache that a running request uses. */
 export function contextTokens(work: Work): number {
   return work.prompt.tokens + work.nextIndex;
 }
 
-/** Tokens of KV cache that all running requests hold. */
+/** Returns the tokens of KV cache that all running requests use. */
 export function runningContextTokens(batch: Batch): number {
   return batch.running.reduce((sum, work) => sum + contextTokens(work), 0);
 }
 
-/** Runs one step, or gives null when there is nothing to do. */
+/** Computes one step. Returns null when there is no work. */
 export function runStep(
   batch: Batch,
   cache: PrefixCache,
@@ -123,10 +123,12 @@
   const contextKtokens = decoding.reduce((sum, work) => sum + contextTokens(work), 0) / 1_000;
   for (const work of decoding) emissions.push(...decode(work, options));
   const ended = new Set(
-    emissions.filter((one) => one.kind === EmissionKind.Finished).map((one) => one.work),
+    emissions
+      .filter((emission) => emission.kind === EmissionKind.Finished)
+      .map((emission) => emission.work),
   );
   batch.running = batch.running.filter((work) => !ended.has(work));
-  emissions.push(...dropForMemory(batch, options));
+  emissions.push(...dropToFitMemory(batch, options));
   shrinkTo(cache, options.kvCapacityTokens - runningContextTokens(batch), nowMs, options);
   const durationMs =
     options.stepBaseMs +
@@ -153,7 +155,7 @@
     batch.waiting.shift();
     const cached = cachedPrefixTokens(cache, next.prompt.blocks);
     next.cachedTokens = Math.max(cached, next.importedTokens);
-    // At least the last token is computed, since it yields the answer's next one.
+    // At least the last token is always computed, because it produces the next token of the answer.
     next.toPrefill = Math.max(1, contextTokens(next) - next.cachedTokens);
     batch.running.push(next);
     admitted.push(next);
@@ -161,7 +163,7 @@
   }
 }
 
-/** Computes one chunk of prompts, first come first, and gives the tokens computed. */
+/** Prefills one chunk of prompts in admission order. Returns the number of computed tokens. */
 function prefill(batch: Batch, cache: PrefixCache, options: EngineOptions, nowMs: number): number {
   let budget = options.roleSpeeds[batch.role].prefillChunkTokens;
   const chunk = budget;
@@ -184,8 +186,8 @@
   if (index >= request.maxTokens) {
     return [{ kind: EmissionKind.Finished, work, reason: FinishReason.Length }];
   }
-  const own = index - request.continueFrom.length;
-  if (own >= options.crashAfterTokens && request.prompt.includes(options.crashMarker)) {
+  const generatedTokens = index - request.continueFrom.length;
+  if (generatedTokens >= options.crashAfterTokens && request.prompt.includes(options.crashMarker)) {
     return [{ kind: EmissionKind.Crash, work }];
   }
   work.nextIndex += 1;
@@ -195,8 +197,8 @@
   return [emission, { kind: EmissionKind.Finished, work, reason: FinishReason.Length }];
 }
 
-/** Gives up the least important, latest request while the running ones do not fit. */
-function dropForMemory(batch: Batch, options: EngineOptions): readonly Emission[] {
+/** Drops the latest request of the lowest priority until the running requests fit in memory. */
+function dropToFitMemory(batch: Batch, options: EngineOptions): readonly Emission[] {
   const dropped: Emission[] = [];
   while (runningContextTokens(batch) > options.kvCapacityTokens) {
     const victim = batch.running.reduce((worst, work) =>
--- a/packages/stand-ins/src/core/engine/engine.ts
+++ b/packages/stand-ins/src/core/engine/engine.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in of a model engine: continuous batching over a prefix cache in limited memory, streams
- * that outlive their connections, orders, KV transfers, and crashes. See
+ * Emulates a model engine: continuous batching over a prefix cache in limited memory, streams that
+ * survive lost connections, orders, KV transfers and crashes. See
  * docs/design/outside-systems.md for the protocol.
  */
 import type { HttpServer } from '../http/http-server.js';
@@ -8,49 +8,49 @@
 import type { Emission, Step } from './batch.js';
 import { EmissionKind, removeWork, runStep } from './batch.js';
 import type { EngineFaults } from './faults.js';
-import { noEngineFaults, takeFault } from './faults.js';
-import { takeReport } from './load-report.js';
+import { noEngineFaults, consumeFault } from './faults.js';
+import { recordReport } from './load-report.js';
 import { createStepLoop } from './loop.js';
 import type { EngineOptions } from './options.js';
 import { DEFAULT_ENGINE } from './options.js';
-import { carryOutOrder } from './order-execution.js';
+import { executeOrder } from './order-execution.js';
 import { createEngineRoutes } from './routes.js';
 import type { RunCounts } from '../runs/run-counts.js';
 import { countRun, promptFingerprint } from '../runs/run-counts.js';
-import type { EngineCounts, EngineLife } from './state.js';
-import { keepKvHandle, loadFigures, newEngineCounts, startLife } from './state.js';
-import { addToken, endStream, forgetEnded } from './streams.js';
+import type { EngineCounts, EngineIncarnation } from './state.js';
+import { keepKvHandle, loadFigures, newEngineCounts, createIncarnation } from './state.js';
+import { addToken, endStream, removeEnded } from './streams.js';
 
 /** A running engine. */
 export interface EngineStandIn {
   readonly address: string;
   readonly port: number;
   readonly counts: () => Readonly<EngineCounts>;
-  /** How often a prompt entered the batch, over all lives of the engine. */
+  /** Returns how often a prompt entered the batch, including before crashes. */
   readonly runsOf: (prompt: string) => number;
   readonly setFaults: (change: Partial<EngineFaults>) => void;
-  /** Loses all state and connections; the engine is back after `restartMs`. */
+  /** Loses all state and connections. The engine restarts after `restartMs`. */
   readonly crash: () => void;
-  /** Breaks every connection; streams go on. */
+  /** Closes every connection. Streams continue. */
   readonly breakConnections: () => void;
   readonly stop: () => Promise<void>;
 }
 
-/** What the parts of one engine share. */
+/** State and controls shared by the modules of one engine. */
 export interface EngineContext {
   readonly options: EngineOptions;
   readonly counts: EngineCounts;
   readonly runs: RunCounts;
   readonly faults: EngineFaults;
   readonly nowMs: () => number;
-  /** The current life; a crash replaces it. */
-  readonly life: () => EngineLife;
+  /** Returns the current incarnation, which a crash replaces. */
+  readonly incarnation: () => EngineIncarnation;
   readonly wake: () => void;
   readonly crash: () => void;
   readonly breakConnections: () => void;
 }
 
-/** Starts the stand-in. */
+/** Starts an engine stand-in. */
 export async function startEngine(given: Partial<EngineOptions> = {}): Promise<EngineStandIn> {
   const options: EngineOptions = { ...DEFAULT_ENGINE, ...given };
   const nowMs = (): number => performance.now();
@@ -60,28 +60,30 @@
   let starts = 0;
   let stopped = false;
   let restart: NodeJS.Timeout | null = null;
-  const newLife = (highestFence: number): EngineLife => {
+  const newIncarnation = (highestFence: number): EngineIncarnation => {
     starts += 1;
-    return startLife(options, `${options.name}-${String(starts)}`, highestFence);
+    return createIncarnation(options, `${options.name}-${String(starts)}`, highestFence);
   };
-  let life = newLife(0);
+  let incarnation = newIncarnation(0);
 
   const crash = (): void => {
     if (restart !== null || stopped) return;
     counts.crashes += 1;
     const closing = server.stop();
     restart = setTimeout(() => {
-      void closing.then(comeBack);
+      void closing.then(listenAgain);
     }, options.restartMs);
-    life = newLife(options.forgetsFenceOnRestart ? 0 : life.ordered.highestFence);
+    incarnation = newIncarnation(
+      options.forgetsFenceOnRestart ? 0 : incarnation.orderState.highestFence,
+    );
   };
-  const comeBack = async (): Promise<void> => {
+  const listenAgain = async (): Promise<void> => {
     restart = null;
     if (!stopped) server = await listen(server.port);
   };
 
   const next = (): { durationMs: number; complete: () => void } | null => {
-    const current = life;
+    const current = incarnation;
     const step = runStep(current.batch, current.cache, options, nowMs());
     if (step === null) return null;
     for (const work of step.admitted) countRun(runs, promptFingerprint(work.request.prompt));
@@ -90,7 +92,7 @@
     return {
       durationMs,
       complete: () => {
-        if (current === life) completeStep(context, step);
+        if (current === incarnation) completeStep(context, step);
       },
     };
   };
@@ -101,7 +103,7 @@
     runs,
     faults,
     nowMs,
-    life: () => life,
+    incarnation: () => incarnation,
     wake: loop.wake,
     crash,
     breakConnections: () => {
@@ -109,18 +111,18 @@
     },
   };
   const routes = createEngineRoutes(context, (order) => {
-    carryOutOrder(context, order);
+    executeOrder(context, order);
   });
   const listen = (port: number): Promise<HttpServer> =>
     startHttpServer({ host: options.host, port, route: routes });
   let server = await listen(options.port);
 
   const report = setInterval(() => {
-    life.loads.frozen = faults.freezeLoad;
-    takeReport(life.loads, life.epoch, loadFigures(life, options), nowMs());
-    forgetEnded(life.streams, nowMs(), options);
+    incarnation.loads.frozen = faults.freezeLoad;
+    recordReport(incarnation.loads, incarnation.epoch, loadFigures(incarnation, options), nowMs());
+    removeEnded(incarnation.streams, nowMs(), options);
   }, options.loadReportEveryMs);
-  takeReport(life.loads, life.epoch, loadFigures(life, options), nowMs());
+  recordReport(incarnation.loads, incarnation.epoch, loadFigures(incarnation, options), nowMs());
 
   return {
     address: server.address,
@@ -142,23 +144,23 @@
   };
 }
 
-/** Hands on what a step brought. */
+/** Delivers the results of a step to the streams. */
 function completeStep(context: EngineContext, step: Step): void {
   for (const emission of step.emissions) {
     if (emission.kind === EmissionKind.Crash) {
       context.crash();
       return;
     }
-    handOn(context, emission);
+    deliver(context, emission);
   }
 }
 
-function handOn(context: EngineContext, emission: Emission): void {
+function deliver(context: EngineContext, emission: Emission): void {
   const { counts, options } = context;
-  const life = context.life();
+  const incarnation = context.incarnation();
   const { work } = emission;
-  const stream = life.streams.get(work.request.streamId);
-  // Cancelled while the step was running.
+  const stream = incarnation.streams.get(work.request.streamId);
+  // The request was cancelled while the step was running.
   if (stream === undefined) return;
   switch (emission.kind) {
     case EmissionKind.Token:
@@ -167,7 +169,7 @@
       return;
     case EmissionKind.OutOfCacheMemory:
       counts.outOfCacheMemory += 1;
-      removeWork(life.batch, stream.id);
+      removeWork(incarnation.batch, stream.id);
       endStream(
         stream,
         { error: { code: 'out_of_cache_memory', message: 'no cache memory left' } },
@@ -178,7 +180,7 @@
       if (emission.reason === undefined) return;
       counts.prefilledPromptTokens += work.prompt.tokens - work.cachedTokens;
       counts.cachedPromptTokens += work.cachedTokens;
-      const kvHandle = work.request.prefillOnly ? exportHandle(context, life, work) : null;
+      const kvHandle = work.request.prefillOnly ? exportHandle(context, incarnation, work) : null;
       const { reason } = emission;
       const promptTokens = work.prompt.tokens;
       const { cachedTokens } = work;
@@ -192,11 +194,11 @@
 
 function exportHandle(
   context: EngineContext,
-  life: EngineLife,
+  incarnation: EngineIncarnation,
   work: Emission['work'],
 ): string | null {
-  if (takeFault(context.faults, 'failKvExports')) return null;
-  const handle = `${life.epoch}/${work.request.streamId}`;
-  keepKvHandle(life, handle, work.prompt);
+  if (consumeFault(context.faults, 'failKvExports')) return null;
+  const handle = `${incarnation.epoch}/${work.request.streamId}`;
+  keepKvHandle(incarnation, handle, work.prompt);
   return handle;
 }
--- a/packages/stand-ins/src/core/engine/errors.ts
+++ b/packages/stand-ins/src/core/engine/errors.ts
@@ -1,10 +1,10 @@
 /**
- * The engine's statuses and its error object.
+ * HTTP status codes and error responses of the engine.
  */
 import type { ServerResponse } from 'node:http';
 import { sendJson } from '../http/http-server.js';
 
-/** Statuses that the engine answers with. */
+/** HTTP status codes that the engine uses. */
 export enum Status {
   Ok = 200,
   Accepted = 202,
@@ -15,7 +15,7 @@
   Unavailable = 503,
 }
 
-/** Answers with the protocol's error object. */
+/** Sends the protocol's error object. */
 export function sendError(
   response: ServerResponse,
   status: number,
--- a/packages/stand-ins/src/core/engine/faults.ts
+++ b/packages/stand-ins/src/core/engine/faults.ts
@@ -1,22 +1,22 @@
 /**
- * Faults of the engine stand-in, set by its handle or by `POST /faults`.
+ * Injectable faults of the engine stand-in, set through its handle or by `POST /faults`.
  */
 
-/** What goes wrong; counts are used up. */
+/** Faults to inject. Counts decrease by one with each occurrence. */
 export interface EngineFaults {
-  /** That many of the next orders are carried out, but their answer is lost. */
+  /** Number of upcoming orders that are executed but whose answer is lost. */
   loseOrderAnswers: number;
-  /** That many of the next orders crash the engine before they are done. */
+  /** Number of upcoming orders that crash the engine before they complete. */
   crashDuringOrders: number;
-  /** That many of the next KV exports fail halfway. */
+  /** Number of upcoming KV exports that fail halfway. */
   failKvExports: number;
-  /** Load reports stay as they are. */
+  /** Whether load reports stop being updated. */
   freezeLoad: boolean;
-  /** Steps take this many times as long. */
+  /** Factor by which the duration of a step is multiplied. */
   slowFactor: number;
 }
 
-/** No fault. */
+/** Returns settings that inject no fault. */
 export function noEngineFaults(): EngineFaults {
   return {
     loseOrderAnswers: 0,
@@ -27,8 +27,8 @@
   };
 }
 
-/** Takes one of a limited number of occurrences. */
-export function takeFault(
+/** Consumes one occurrence of a counted fault. Returns whether the fault occurs now. */
+export function consumeFault(
   faults: EngineFaults,
   name: 'loseOrderAnswers' | 'crashDuringOrders' | 'failKvExports',
 ): boolean {
--- a/packages/stand-ins/src/core/engine/load-report.ts
+++ b/packages/stand-ins/src/core/engine/load-report.ts
@@ -1,9 +1,9 @@
 /**
- * Load reports as engines give them: taken now and then, told later, at times frozen or counted
- * from the start again.
+ * Load reports of the engine: recorded periodically, returned with a delay, optionally frozen, and
+ * numbered from the start again after a crash.
  */
 
-/** The figures of one report. */
+/** Fields of one load report. */
 export interface LoadFigures {
   readonly running_requests: number;
   readonly waiting_requests: number;
@@ -21,20 +21,20 @@
   readonly figures: LoadFigures;
 }
 
-/** Reports taken and not yet superseded by an older one that may be told. */
+/** Recorded reports, from the one that is currently returned to the newest. */
 export interface LoadReports {
   readonly reports: Report[];
   sequence: number;
   frozen: boolean;
 }
 
-/** No report yet. */
+/** Creates an empty list of reports. */
 export function createLoadReports(): LoadReports {
   return { reports: [], sequence: 0, frozen: false };
 }
 
-/** Takes a report. */
-export function takeReport(
+/** Records a report, unless reports are frozen. */
+export function recordReport(
   state: LoadReports,
   epoch: string,
   figures: LoadFigures,
@@ -45,8 +45,8 @@
   state.reports.push({ sequence: state.sequence, epoch, takenAtMs: nowMs, figures });
 }
 
-/** The newest report that is at least `lagMs` old; the oldest while none is. */
-export function reportToTell(
+/** Returns the newest report that is at least `lagMs` old, or the oldest if none is. */
+export function newestVisibleReport(
   state: LoadReports,
   lagMs: number,
   nowMs: number,
@@ -56,7 +56,7 @@
     if (second === undefined || nowMs - second.takenAtMs < lagMs) break;
     state.reports.shift();
   }
-  const told = state.reports[0];
-  if (told === undefined) return null;
-  return { sequence: told.sequence, epoch: told.epoch, ...told.figures };
+  const visible = state.reports[0];
+  if (visible === undefined) return null;
+  return { sequence: visible.sequence, epoch: visible.epoch, ...visible.figures };
 }
--- a/packages/stand-ins/src/core/engine/loop.ts
+++ b/packages/stand-ins/src/core/engine/loop.ts
@@ -1,25 +1,26 @@
 /**
- * The engine's loop: one step after another while there is work, each handed on when its time has
- * passed. Steps shorter than a timer can tell are made up for at the next wake-up.
+ * Step loop of the engine: runs steps one after another while there is work and completes each one
+ * when its duration has passed. Steps shorter than the timer resolution are caught up at the next
+ * wake-up.
  */
 
-/** Most steps in one wake-up, so that requests are still answered in between. */
+/** Limits the steps per wake-up so that the event loop can answer requests in between. */
 const MAX_STEPS_AT_ONCE = 64;
 
-/** A step that has been computed: how long it takes, and what to do when it is over. */
+/** A computed step: its duration and the action that completes it. */
 export interface PendingStep {
   readonly durationMs: number;
   readonly complete: () => void;
 }
 
-/** The loop's controls. */
+/** Controls of the step loop. */
 export interface StepLoop {
-  /** Looks for work; does nothing while the loop is running. */
+  /** Starts the loop if there is work. Does nothing while the loop is running. */
   readonly wake: () => void;
   readonly stop: () => void;
 }
 
-/** Makes a loop at rest. `next` gives null when there is no work. */
+/** Creates an idle loop. `next` returns null when there is no work. */
 export function createStepLoop(next: () => PendingStep | null, nowMs: () => number): StepLoop {
   let timer: NodeJS.Timeout | null = null;
   let pending: PendingStep | null = null;
--- a/packages/stand-ins/src/core/engine/options.ts
+++ b/packages/stand-ins/src/core/engine/options.ts
@@ -1,19 +1,19 @@
 /**
- * What an engine stand-in can do and how fast. The defaults are those of a small model on one
- * accelerator; tests make them tens of times faster.
+ * Capabilities and speed of an engine stand-in. The defaults match a small model on one accelerator;
+ * tests use settings that are tens of times faster.
  */
 import { EngineRole } from '@cassiamast/coordination';
 
-/** How a role batches. */
+/** Batching limits of a role. */
 export interface RoleSpeed {
   /** Prompt tokens computed in one step, over all requests. */
   readonly prefillChunkTokens: number;
-  /** Most requests in the batch. */
+  /** Maximum number of requests in the batch. */
   readonly maxBatch: number;
 }
 
-/** A model that the engine holds. */
-export interface HeldModel {
+/** A model that is loaded in the engine. */
+export interface LoadedModel {
   readonly name: string;
   readonly version: string;
   readonly adapters: readonly string[];
@@ -22,36 +22,36 @@
 /** Options of the engine stand-in; all but a few have defaults, see {@link DEFAULT_ENGINE}. */
 export interface EngineOptions {
   readonly host: string;
-  /** 0 takes any free port. */
+  /** 0 selects any free port. */
   readonly port: number;
   readonly name: string;
   readonly role: EngineRole;
-  /** Models held from the start, also after a restart. */
-  readonly models: readonly HeldModel[];
+  /** Models loaded at startup, including after a restart. */
+  readonly models: readonly LoadedModel[];
   readonly roleSpeeds: Readonly<Record<EngineRole, RoleSpeed>>;
-  /** Time of an empty step. */
+  /** Duration of an empty step. */
   readonly stepBaseMs: number;
-  /** Added for each request that generates. */
+  /** Added for each decoding request. */
   readonly stepPerRequestMs: number;
-  /** Added for each thousand tokens of context of those requests. */
+  /** Added per thousand context tokens of the decoding requests. */
   readonly stepPerContextKtokenMs: number;
   readonly prefillTokensPerMs: number;
   readonly kvCapacityTokens: number;
   readonly maxWaiting: number;
-  /** A stream writes its tokens out in groups of this many. */
+  /** Number of tokens that a stream writes per event. */
   readonly tokensPerEvent: number;
-  /** How long the end of a stream can be read again. */
+  /** How long an ended stream can still be read. */
   readonly keepEndedMs: number;
-  /** Most ended streams kept; the oldest goes first. */
+  /** Maximum number of ended streams kept; the oldest is removed first. */
   readonly maxEnded: number;
   readonly loadReportEveryMs: number;
-  /** Age of the load report that is told. */
+  /** Minimum age of the load report that is returned. */
   readonly loadReportLagMs: number;
   readonly cacheEventLagMs: number;
-  /** Every so many-th cache event is lost; 0 for none. */
+  /** Every n-th cache event is lost, where n is this value; 0 loses none. */
   readonly cacheEventGapEvery: number;
   readonly checksFencing: boolean;
-  /** Whether a restarted engine has forgotten the highest fencing number it saw. */
+  /** Whether a restart loses the highest fencing token seen. */
   readonly forgetsFenceOnRestart: boolean;
   readonly roleChangeMs: number;
   /** Base address of the weight store, or null to load in `loadMs`. */
@@ -63,11 +63,11 @@
   readonly crashMarker: string;
   readonly crashAfterTokens: number;
   readonly restartMs: number;
-  /** Not empty: this engine computes other answers than the rest. */
+  /** If not empty, this engine computes different answers than other engines. */
   readonly answerVariant: string;
 }
 
-/** The defaults. */
+/** Default options of the engine stand-in. */
 export const DEFAULT_ENGINE: EngineOptions = {
   host: '127.0.0.1',
   port: 0,
--- a/packages/stand-ins/src/core/engine/order-execution.ts
+++ b/packages/stand-ins/src/core/engine/order-execution.ts
@@ -1,77 +1,77 @@
 /**
- * Carrying out an order that was taken: a role change drops all work and the cache and keeps the
- * engine away; a load fetches from the weight store and waits when told to slow down.
+ * Executes accepted orders. A role change drops all requests and the cache, and makes the engine
+ * unavailable for a while. A load fetches weights from the weight store and waits when rate limited.
  */
 import type { EngineOrder } from '@cassiamast/ports';
 import { OrderKind } from '@cassiamast/ports';
 import { request as httpRequest } from 'undici';
 import { delay } from '../time/delay.js';
 import type { EngineContext } from './engine.js';
-import { takeFault } from './faults.js';
+import { consumeFault } from './faults.js';
 import { completeOrder } from './orders.js';
 import { clearCache } from './prefix-cache.js';
-import type { EngineLife } from './state.js';
+import type { EngineIncarnation } from './state.js';
 import { endStream, hasEnded } from './streams.js';
 
 const TOO_MANY_REQUESTS = 429;
 const STORE_RETRY_MS = 500;
 
-/** Begins the order in progress; it is done later. */
-export function carryOutOrder(context: EngineContext, order: EngineOrder): void {
-  const life = context.life();
-  const crashes = takeFault(context.faults, 'crashDuringOrders');
+/** Starts the order in progress, which completes later. */
+export function executeOrder(context: EngineContext, order: EngineOrder): void {
+  const incarnation = context.incarnation();
+  const crashes = consumeFault(context.faults, 'crashDuringOrders');
   const done = (): void => {
-    // A crash in between took the order with it.
-    if (context.life() !== life) return;
+    // The engine crashed in the meantime, which lost the order.
+    if (context.incarnation() !== incarnation) return;
     if (crashes) {
       context.crash();
       return;
     }
-    completeOrder(life.ordered, context.counts);
-    life.batch.role = life.ordered.role;
+    completeOrder(incarnation.orderState, context.counts);
+    incarnation.batch.role = incarnation.orderState.role;
     context.wake();
   };
   switch (order.kind) {
     case OrderKind.SetRole:
-      dropWork(context, life);
+      dropWork(context, incarnation);
       void delay(context.options.roleChangeMs).then(done);
       return;
     case OrderKind.LoadModel:
-      void load(context, life).then(done);
+      void load(context, incarnation).then(done);
       return;
     case OrderKind.UnloadModel:
       done();
   }
 }
 
-/** A role change takes the memory that running requests and the cache use. */
-function dropWork(context: EngineContext, life: EngineLife): void {
+/** Ends all requests and clears the cache, because a role change needs their memory. */
+function dropWork(context: EngineContext, incarnation: EngineIncarnation): void {
   const error = { code: 'not_serving', message: 'cut by a role change' };
-  for (const stream of life.streams.values()) {
+  for (const stream of incarnation.streams.values()) {
     if (hasEnded(stream)) continue;
     context.counts.cutByRoleChange += 1;
     endStream(stream, { error }, context.nowMs());
   }
-  life.batch.waiting = [];
-  life.batch.running = [];
-  life.kvHandles.clear();
-  clearCache(life.cache, context.nowMs(), context.options);
+  incarnation.batch.waiting = [];
+  incarnation.batch.running = [];
+  incarnation.kvHandles.clear();
+  clearCache(incarnation.cache, context.nowMs(), context.options);
 }
 
-async function load(context: EngineContext, life: EngineLife): Promise<void> {
+async function load(context: EngineContext, incarnation: EngineIncarnation): Promise<void> {
   const { weightStore, loadMs, modelSizeMb } = context.options;
   if (weightStore === null) {
     await delay(loadMs);
     return;
   }
-  while (context.life() === life) {
+  while (context.incarnation() === incarnation) {
     const waitMs = await fetchOnce(weightStore, modelSizeMb);
     if (waitMs === null) return;
     await delay(waitMs);
   }
 }
 
-/** Null when the weights are here, else how long to wait before the next try. */
+/** Returns null once the weights are loaded, or else the delay before the next attempt. */
 async function fetchOnce(weightStore: string, sizeMb: number): Promise<number | null> {
   try {
     const response = await httpRequest(`${weightStore}/fetches`, {
@@ -84,7 +84,7 @@
     if (response.statusCode === TOO_MANY_REQUESTS) return body.retry_after_ms ?? STORE_RETRY_MS;
     return STORE_RETRY_MS;
   } catch {
-    // The store is down or broke the connection: the engine keeps asking, as real ones do.
+    // The store is down or closed the connection. The engine keeps retrying, as real engines do.
     return STORE_RETRY_MS;
   }
 }
--- a/packages/stand-ins/src/core/engine/orders.ts
+++ b/packages/stand-ins/src/core/engine/orders.ts
@@ -1,36 +1,37 @@
 /**
- * Orders to the engine: role changes take it away for a while, loads go on beside the work. Counts
- * what a correct system never makes an engine do, for oracles to read.
+ * Accepts and completes orders to the engine. The engine is unavailable during a role change, while a
+ * model load runs alongside requests. Also counts events that a correct system never causes, for
+ * test oracles.
  */
 import type { EngineRole } from '@cassiamast/coordination';
 import type { EngineOrder, EngineState } from '@cassiamast/ports';
 import { OrderKind } from '@cassiamast/ports';
-import type { HeldModel } from './options.js';
+import type { LoadedModel } from './options.js';
 
-/** The state that orders change. */
-export interface Ordered {
+/** Engine state that orders change. */
+export interface OrderState {
   role: EngineRole;
-  models: HeldModel[];
+  models: LoadedModel[];
   inProgress: EngineOrder | null;
   lastDone: string | null;
   highestFence: number;
 }
 
-/** What happened so far; never reset by a crash. */
+/** Counts of order-related events. A crash does not reset them. */
 export interface OrderCounts {
   roleChanges: number;
   loads: number;
-  /** Orders refused for their old fencing number. */
+  /** Orders rejected for an outdated fencing token. */
   fencedOrders: number;
-  /** Orders with an old fencing number that this engine obeyed, since it does not check. */
+  /** Orders with an outdated fencing token that the engine accepted because it does not check tokens. */
   staleOrdersObeyed: number;
-  /** Orders that came while another one was being carried out. */
+  /** Orders that arrived while another one was in progress. */
   conflictingOrders: number;
-  /** Requests that a role change cut off. */
+  /** Requests aborted by a role change. */
   cutByRoleChange: number;
 }
 
-/** No order yet. */
+/** Creates counts that are all zero. */
 export function newOrderCounts(): OrderCounts {
   return {
     roleChanges: 0,
@@ -42,18 +43,18 @@
   };
 }
 
-/** How an order is taken. */
+/** Decisions on an incoming order. */
 export enum OrderVerdict {
   Begin = 'begin',
-  /** The same order again: nothing is done twice. */
+  /** A repeated order, which is not executed again. */
   Known = 'known',
   FenceOld = 'fence-old',
   Busy = 'busy',
 }
 
-/** Judges an order, notes its fence and counts what is wrong with it. */
-export function takeOrder(
-  state: Ordered,
+/** Decides on an order, records its fencing token and counts violations. */
+export function acceptOrder(
+  state: OrderState,
   counts: OrderCounts,
   order: EngineOrder,
   checksFencing: boolean,
@@ -77,8 +78,8 @@
   return OrderVerdict.Begin;
 }
 
-/** Ends the order in progress and makes its effect visible. */
-export function completeOrder(state: Ordered, counts: OrderCounts): void {
+/** Completes the order in progress and applies its effect. */
+export function completeOrder(state: OrderState, counts: OrderCounts): void {
   const order = state.inProgress;
   if (order === null) return;
   state.inProgress = null;
@@ -97,14 +98,14 @@
   }
 }
 
-/** Whether the engine takes no work because of the order in progress. */
-export function isAway(state: Ordered): boolean {
+/** Returns whether the engine rejects requests because a role change is in progress. */
+export function isChangingRole(state: OrderState): boolean {
   return state.inProgress?.kind === OrderKind.SetRole;
 }
 
-/** What `GET /state` tells. */
-export function stateBody(state: Ordered, epoch: string): Record<string, unknown> {
-  const told: EngineState = {
+/** Returns the body of `GET /state`. */
+export function stateBody(state: OrderState, epoch: string): Record<string, unknown> {
+  const reported: EngineState = {
     epoch,
     role: state.role,
     orderInProgress: state.inProgress?.orderId ?? null,
@@ -113,16 +114,16 @@
     models: state.models,
   };
   return {
-    epoch: told.epoch,
-    role: told.role,
-    order_in_progress: told.orderInProgress,
-    last_order_done: told.lastOrderDone,
-    highest_fence: told.highestFence,
-    models: told.models,
+    epoch: reported.epoch,
+    role: reported.role,
+    order_in_progress: reported.orderInProgress,
+    last_order_done: reported.lastOrderDone,
+    highest_fence: reported.highestFence,
+    models: reported.models,
   };
 }
 
-function withModel(models: readonly HeldModel[], order: EngineOrder): HeldModel[] {
+function withModel(models: readonly LoadedModel[], order: EngineOrder): LoadedModel[] {
   const name = order.model ?? '';
   const version = order.version ?? '';
   const before = models.find((model) => model.name === name && model.version === version);
--- a/packages/stand-ins/src/core/engine/prefix-cache.ts
+++ b/packages/stand-ins/src/core/engine/prefix-cache.ts
@@ -1,40 +1,40 @@
 /**
- * The prefix cache: blocks by fingerprint in limited memory, the least recently used evicted
- * first, with a numbered event for each change.
+ * Prefix cache of the engine: blocks identified by fingerprint in limited memory, with least
+ * recently used eviction. Publishes a numbered event for each change.
  */
 import type { CacheEvent } from '@cassiamast/ports';
 import { CacheEventKind } from '@cassiamast/ports';
 import { BLOCK_TOKENS } from './prompt.js';
 
-/** Events kept for readers that are behind; older ones are a gap to them. */
+/** Events kept for clients that lag behind. A client that needs older ones sees a gap. */
 const MAX_EVENTS = 4_096;
 
-/** When an event may be told. */
-interface DatedEvent {
+/** An event and the time from which clients may see it. */
+interface DelayedEvent {
   readonly event: CacheEvent;
-  readonly tellAtMs: number;
+  readonly visibleAtMs: number;
 }
 
-/** The cache's state. The map is in order of last use. */
+/** State of the prefix cache. The map is ordered from least to most recently used. */
 export interface PrefixCache {
   readonly epoch: string;
   readonly blocks: Map<string, true>;
-  readonly events: DatedEvent[];
+  readonly events: DelayedEvent[];
   sequence: number;
 }
 
-/** How events are told. */
+/** Delay and loss of the published events. */
 export interface CacheEventOptions {
   readonly cacheEventLagMs: number;
   readonly cacheEventGapEvery: number;
 }
 
-/** An empty cache. */
+/** Creates an empty cache. */
 export function createPrefixCache(epoch: string): PrefixCache {
   return { epoch, blocks: new Map(), events: [], sequence: 0 };
 }
 
-/** Tokens of the longest cached beginning; marks it as just used. */
+/** Returns the number of tokens in the longest cached prefix and marks its blocks as just used. */
 export function cachedPrefixTokens(cache: PrefixCache, blocks: readonly string[]): number {
   let found = 0;
   for (const block of blocks) {
@@ -45,7 +45,7 @@
   return found * BLOCK_TOKENS;
 }
 
-/** Stores blocks as just used. */
+/** Stores blocks and marks them as just used. */
 export function storeBlocks(
   cache: PrefixCache,
   blocks: readonly string[],
@@ -60,7 +60,7 @@
   if (added.length > 0) publish(cache, CacheEventKind.Stored, added, nowMs, options);
 }
 
-/** Evicts until the cache takes at most so many tokens. */
+/** Evicts blocks until the cache holds at most `limitTokens` tokens. */
 export function shrinkTo(
   cache: PrefixCache,
   limitTokens: number,
@@ -76,21 +76,21 @@
   if (evicted.length > 0) publish(cache, CacheEventKind.Evicted, evicted, nowMs, options);
 }
 
-/** Empties the cache, as a role change does. */
+/** Empties the cache, for example on a role change. */
 export function clearCache(cache: PrefixCache, nowMs: number, options: CacheEventOptions): void {
   cache.blocks.clear();
   publish(cache, CacheEventKind.Cleared, [], nowMs, options);
 }
 
-/** Events after a sequence number that are due by now. */
+/** Returns the events after a sequence number whose publication delay has passed. */
 export function eventsAfter(
   cache: PrefixCache,
   sequence: number,
   nowMs: number,
 ): readonly CacheEvent[] {
   return cache.events
-    .filter((dated) => dated.event.sequence > sequence && dated.tellAtMs <= nowMs)
-    .map((dated) => dated.event);
+    .filter((delayed) => delayed.event.sequence > sequence && delayed.visibleAtMs <= nowMs)
+    .map((delayed) => delayed.event);
 }
 
 function publish(
@@ -104,6 +104,6 @@
   const { cacheEventGapEvery, cacheEventLagMs } = options;
   if (cacheEventGapEvery > 0 && cache.sequence % cacheEventGapEvery === 0) return;
   const event = { epoch: cache.epoch, sequence: cache.sequence, kind, blocks };
-  cache.events.push({ event, tellAtMs: nowMs + cacheEventLagMs });
+  cache.events.push({ event, visibleAtMs: nowMs + cacheEventLagMs });
   if (cache.events.length > MAX_EVENTS) cache.events.shift();
 }
--- a/packages/stand-ins/src/core/engine/prompt.ts
+++ b/packages/stand-ins/src/core/engine/prompt.ts
@@ -1,6 +1,6 @@
 /**
- * How the stand-in counts and fingerprints a prompt: one word is one token, and each block of
- * words is named by a hash over all words up to its end, as prefix caches do.
+ * Tokenizes prompts for the engine stand-in. One word is one token, and the fingerprint of each block
+ * is a hash over all words up to its end, as in real prefix caches.
  */
 import { createHashing } from '@cassiamast/coordination';
 
@@ -9,14 +9,14 @@
 /** Tokens in one block of the prefix cache. */
 export const BLOCK_TOKENS = 16;
 
-/** A prompt as the engine holds it. */
+/** Token count and block fingerprints of a prompt. */
 export interface TokenizedPrompt {
   readonly tokens: number;
-  /** Fingerprints of the whole blocks; a partial last block is never cached. */
+  /** Fingerprints of the complete blocks; a partial last block is never cached. */
   readonly blocks: readonly string[];
 }
 
-/** Counts and fingerprints a prompt. The same words after another model or adapter differ. */
+/** Counts the tokens of a prompt and fingerprints its blocks. Fingerprints depend on model and adapter. */
 export function tokenize(prompt: string, model: string, adapter: string | null): TokenizedPrompt {
   const words = prompt.split(/\s+/).filter((word) => word !== '');
   const blocks: string[] = [];
--- a/packages/stand-ins/src/core/engine/requests.ts
+++ b/packages/stand-ins/src/core/engine/requests.ts
@@ -1,6 +1,6 @@
 /**
- * Reading what callers of the engine send. Wrong or missing fields get a default where OpenAI has
- * one and a refusal where it has none.
+ * Parses request and order bodies. An invalid or missing field gets OpenAI's default where there is
+ * one; otherwise the body is rejected.
  */
 import { EngineRole } from '@cassiamast/coordination';
 import type { EngineOrder, EngineRequest } from '@cassiamast/ports';
@@ -10,7 +10,7 @@
 /** OpenAI's default for `max_tokens` of completions. */
 const DEFAULT_MAX_TOKENS = 16;
 
-/** The request in a body; null when the prompt or model is missing. */
+/** Parses a completion request. Returns null when the prompt or model is missing. */
 export function readEngineRequest(body: JsonBody, newStreamId: () => string): EngineRequest | null {
   if (typeof body.prompt !== 'string' || typeof body.model !== 'string') return null;
   return {
@@ -28,7 +28,7 @@
   };
 }
 
-/** The order in a body; null when a field that its kind needs is missing. */
+/** Parses an order. Returns null when a field that its kind requires is missing. */
 export function readOrder(body: JsonBody): EngineOrder | null {
   const kind = Object.values(OrderKind).find((known) => known === body.kind);
   if (kind === undefined || typeof body.order_id !== 'string') return null;
--- a/packages/stand-ins/src/core/engine/routes.ts
+++ b/packages/stand-ins/src/core/engine/routes.ts
@@ -1,5 +1,5 @@
 /**
- * The engine's paths; reports, orders and faults are answered here.
+ * Maps the engine's HTTP paths to routes. Contains the routes for reports, orders and faults.
  */
 import type { EngineOrder } from '@cassiamast/ports';
 import type { Route } from '../http/http-server.js';
@@ -7,20 +7,20 @@
 import type { EngineContext } from './engine.js';
 import { sendError, Status } from './errors.js';
 import type { EngineFaults } from './faults.js';
-import { takeFault } from './faults.js';
+import { consumeFault } from './faults.js';
 import { createKvRoutes } from './kv-routes.js';
-import { reportToTell } from './load-report.js';
-import { OrderVerdict, stateBody, takeOrder } from './orders.js';
+import { newestVisibleReport } from './load-report.js';
+import { OrderVerdict, stateBody, acceptOrder } from './orders.js';
 import { eventsAfter } from './prefix-cache.js';
 import { readOrder } from './requests.js';
 import { cancel, completions, listStreams, resume } from './stream-routes.js';
 
 const STREAMS = '/v1/streams/';
 
-/** Finds the route of a request. */
+/** Returns a function that finds the route of a request, or null for an unknown path. */
 export function createEngineRoutes(
   context: EngineContext,
-  carryOut: (order: EngineOrder) => void,
+  execute: (order: EngineOrder) => void,
 ): (method: string, path: string) => Route | null {
   const exact = new Map<string, Route>([
     ['POST /v1/completions', completions(context)],
@@ -28,7 +28,7 @@
     ['GET /load', load(context)],
     ['GET /cache-events', cacheEvents(context)],
     ['GET /state', state(context)],
-    ['POST /orders', orders(context, carryOut)],
+    ['POST /orders', orders(context, execute)],
     ['POST /faults', faults(context)],
     ['GET /counts', counts(context)],
     ['GET /runs', runs(context)],
@@ -46,8 +46,8 @@
 
 function load(context: EngineContext): Route {
   return ({ response }) => {
-    const { loads } = context.life();
-    const report = reportToTell(loads, context.options.loadReportLagMs, context.nowMs());
+    const { loads } = context.incarnation();
+    const report = newestVisibleReport(loads, context.options.loadReportLagMs, context.nowMs());
     sendJson(response, Status.Ok, report ?? {});
   };
 }
@@ -55,46 +55,46 @@
 function cacheEvents(context: EngineContext): Route {
   return ({ url, response }) => {
     const after = Number(url.searchParams.get('after') ?? 0);
-    const { cache } = context.life();
+    const { cache } = context.incarnation();
     sendJson(response, Status.Ok, { events: eventsAfter(cache, after, context.nowMs()) });
   };
 }
 
 function state(context: EngineContext): Route {
   return ({ response }) => {
-    const life = context.life();
-    sendJson(response, Status.Ok, stateBody(life.ordered, life.epoch));
+    const incarnation = context.incarnation();
+    sendJson(response, Status.Ok, stateBody(incarnation.orderState, incarnation.epoch));
   };
 }
 
-function orders(context: EngineContext, carryOut: (order: EngineOrder) => void): Route {
+function orders(context: EngineContext, execute: (order: EngineOrder) => void): Route {
   return ({ body, response }) => {
-    const life = context.life();
+    const incarnation = context.incarnation();
     const order = readOrder(body);
     if (order === null) {
       sendError(response, Status.Invalid, { code: 'invalid_request', message: 'no such order' });
       return;
     }
     const { checksFencing } = context.options;
-    const verdict = takeOrder(life.ordered, context.counts, order, checksFencing);
+    const verdict = acceptOrder(incarnation.orderState, context.counts, order, checksFencing);
     if (verdict === OrderVerdict.FenceOld) {
       sendError(response, Status.Conflict, {
         code: 'fence_old',
         message: 'a later holder has given orders',
         order_id: order.orderId,
         fence: order.fence,
-        highest_fence: life.ordered.highestFence,
+        highest_fence: incarnation.orderState.highestFence,
       });
       return;
     }
     if (verdict === OrderVerdict.Busy) {
-      const message = `order ${life.ordered.inProgress?.orderId ?? ''} is in progress`;
+      const message = `order ${incarnation.orderState.inProgress?.orderId ?? ''} is in progress`;
       sendError(response, Status.Conflict, { code: 'order_in_progress', message });
       return;
     }
-    if (verdict === OrderVerdict.Begin) carryOut(order);
-    if (takeFault(context.faults, 'loseOrderAnswers')) response.destroy();
-    else sendJson(response, Status.Accepted, stateBody(life.ordered, life.epoch));
+    if (verdict === OrderVerdict.Begin) execute(order);
+    if (consumeFault(context.faults, 'loseOrderAnswers')) response.destroy();
+    else sendJson(response, Status.Accepted, stateBody(incarnation.orderState, incarnation.epoch));
   };
 }
 
--- a/packages/stand-ins/src/core/engine/state.ts
+++ b/packages/stand-ins/src/core/engine/state.ts
@@ -1,13 +1,12 @@
 /**
- * Everything that an engine process holds between two crashes. A crash makes it anew; only the
- * counts for oracles outlive it.
+ * State that an engine process loses in a crash. Only the counts for test oracles survive one.
  */
 import type { Batch } from './batch.js';
 import { createBatch, runningContextTokens } from './batch.js';
 import type { LoadFigures, LoadReports } from './load-report.js';
 import { createLoadReports } from './load-report.js';
 import type { EngineOptions } from './options.js';
-import type { Ordered, OrderCounts } from './orders.js';
+import type { OrderState, OrderCounts } from './orders.js';
 import { newOrderCounts } from './orders.js';
 import type { PrefixCache } from './prefix-cache.js';
 import { createPrefixCache } from './prefix-cache.js';
@@ -15,24 +14,24 @@
 import { BLOCK_TOKENS } from './prompt.js';
 import type { Streams } from './streams.js';
 
-/** Handles kept; the oldest is dropped first. */
+/** Maximum number of KV handles kept; the oldest is removed first. */
 const MAX_KV_HANDLES = 1_024;
 
-/** One life of the engine, from a start to a crash. */
-export interface EngineLife {
+/** State of one incarnation of the engine, from its start to a crash. */
+export interface EngineIncarnation {
   /** Changes at each start. */
   readonly epoch: string;
   readonly batch: Batch;
   readonly cache: PrefixCache;
   readonly streams: Streams;
-  readonly ordered: Ordered;
+  readonly orderState: OrderState;
   readonly loads: LoadReports;
   /** KV cache that can be exported, or was imported, by handle. */
   readonly kvHandles: Map<string, TokenizedPrompt>;
   lastStepMs: number;
 }
 
-/** What oracles read; outlives crashes. */
+/** Counts for test oracles, which survive crashes. */
 export interface EngineCounts extends OrderCounts {
   crashes: number;
   requests: number;
@@ -42,7 +41,7 @@
   outOfCacheMemory: number;
 }
 
-/** Nothing happened yet. */
+/** Creates counts that are all zero. */
 export function newEngineCounts(): EngineCounts {
   return {
     ...newOrderCounts(),
@@ -55,14 +54,18 @@
   };
 }
 
-/** A new life; `highestFence` is what the last one remembered, or 0. */
-export function startLife(options: EngineOptions, epoch: string, highestFence: number): EngineLife {
+/** Creates a new incarnation. `highestFence` is the highest fencing token that the earlier one kept, or 0. */
+export function createIncarnation(
+  options: EngineOptions,
+  epoch: string,
+  highestFence: number,
+): EngineIncarnation {
   return {
     epoch,
     batch: createBatch(options.role),
     cache: createPrefixCache(epoch),
     streams: new Map(),
-    ordered: {
+    orderState: {
       role: options.role,
       models: [...options.models],
       inProgress: null,
@@ -75,17 +78,21 @@
   };
 }
 
-/** Remembers KV cache under a handle. */
-export function keepKvHandle(life: EngineLife, handle: string, prompt: TokenizedPrompt): void {
-  life.kvHandles.set(handle, prompt);
-  if (life.kvHandles.size <= MAX_KV_HANDLES) return;
-  const oldest = life.kvHandles.keys().next();
-  if (oldest.done !== true) life.kvHandles.delete(oldest.value);
+/** Stores KV cache under a handle and removes the oldest handle beyond the limit. */
+export function keepKvHandle(
+  incarnation: EngineIncarnation,
+  handle: string,
+  prompt: TokenizedPrompt,
+): void {
+  incarnation.kvHandles.set(handle, prompt);
+  if (incarnation.kvHandles.size <= MAX_KV_HANDLES) return;
+  const oldest = incarnation.kvHandles.keys().next();
+  if (oldest.done !== true) incarnation.kvHandles.delete(oldest.value);
 }
 
-/** The true load at the moment. */
-export function loadFigures(life: EngineLife, options: EngineOptions): LoadFigures {
-  const { batch, cache } = life;
+/** Returns the current load, without the report delay. */
+export function loadFigures(incarnation: EngineIncarnation, options: EngineOptions): LoadFigures {
+  const { batch, cache } = incarnation;
   const contextTokens = runningContextTokens(batch);
   const prefill = [...batch.waiting, ...batch.running];
   return {
@@ -95,6 +102,6 @@
     running_context_tokens: contextTokens,
     kv_used_tokens: contextTokens + cache.blocks.size * BLOCK_TOKENS,
     kv_capacity_tokens: options.kvCapacityTokens,
-    step_ms: life.lastStepMs,
+    step_ms: incarnation.lastStepMs,
   };
 }
--- a/packages/stand-ins/src/core/engine/stream-routes.ts
+++ b/packages/stand-ins/src/core/engine/stream-routes.ts
@@ -1,5 +1,5 @@
 /**
- * The engine's answers: asked for, taken up again, listed and cancelled.
+ * Routes that start, resume, list and cancel the engine's answers.
  */
 import type { ServerResponse } from 'node:http';
 import type { Route } from '../http/http-server.js';
@@ -7,19 +7,19 @@
 import { enqueue, removeWork } from './batch.js';
 import type { EngineContext } from './engine.js';
 import { sendError, Status } from './errors.js';
-import { isAway } from './orders.js';
+import { isChangingRole } from './orders.js';
 import { tokenize } from './prompt.js';
 import { readEngineRequest } from './requests.js';
 import { attachReader, hasEnded, openStream } from './streams.js';
 
 const OVERLOAD_RETRY_MS = 500;
 
-/** `POST /v1/completions`. */
+/** Route of `POST /v1/completions`: starts an answer and streams it. */
 export function completions(context: EngineContext): Route {
   return ({ body, response }) => {
     const { options, counts } = context;
-    const life = context.life();
-    const newStreamId = (): string => `${life.epoch}-${String(counts.requests)}`;
+    const incarnation = context.incarnation();
+    const newStreamId = (): string => `${incarnation.epoch}-${String(counts.requests)}`;
     const request = readEngineRequest(body, newStreamId);
     if (request === null) {
       sendError(response, Status.Invalid, {
@@ -28,23 +28,25 @@
       });
       return;
     }
-    if (isAway(life.ordered)) {
+    if (isChangingRole(incarnation.orderState)) {
       const message = 'changing role';
       const retry_after_ms = options.roleChangeMs;
       sendError(response, Status.Unavailable, { code: 'not_serving', message, retry_after_ms });
       return;
     }
-    const held = life.ordered.models.find((model) => model.name === request.model);
-    if (held === undefined || !holdsAdapter(held.adapters, request.adapter)) {
+    const model = incarnation.orderState.models.find(
+      (candidate) => candidate.name === request.model,
+    );
+    if (model === undefined || !holdsAdapter(model.adapters, request.adapter)) {
       sendError(response, Status.NotFound, { code: 'model_unknown', message: request.model });
       return;
     }
-    if (life.streams.has(request.streamId)) {
+    if (incarnation.streams.has(request.streamId)) {
       const message = request.streamId;
       sendError(response, Status.Conflict, { code: 'stream_exists', message });
       return;
     }
-    if (life.batch.waiting.length >= options.maxWaiting) {
+    if (incarnation.batch.waiting.length >= options.maxWaiting) {
       const message = 'too many requests waiting';
       const retry_after_ms = OVERLOAD_RETRY_MS;
       sendError(response, Status.TooMany, { code: 'overloaded', message, retry_after_ms });
@@ -57,11 +59,12 @@
       return;
     }
     counts.requests += 1;
-    const imported = request.kvHandle === null ? undefined : life.kvHandles.get(request.kvHandle);
+    const imported =
+      request.kvHandle === null ? undefined : incarnation.kvHandles.get(request.kvHandle);
     const importedTokens = isSamePrompt(imported?.blocks, prompt.blocks) ? prompt.tokens : 0;
-    enqueue(life.batch, request, prompt, importedTokens, options.answerVariant);
+    enqueue(incarnation.batch, request, prompt, importedTokens, options.answerVariant);
     const first = request.continueFrom.length;
-    const stream = openStream(life.streams, request.streamId, request.model, first);
+    const stream = openStream(incarnation.streams, request.streamId, request.model, first);
     attachReader(stream, response, first);
     context.wake();
   };
@@ -76,35 +79,35 @@
   return imported.length === own.length && imported.at(-1) === own.at(-1);
 }
 
-/** `GET /v1/streams/:id`. */
+/** Route of `GET /v1/streams/:id`: resumes a stream from a token position. */
 export function resume(context: EngineContext, streamId: string): Route {
   return ({ url, response }) => {
-    const stream = context.life().streams.get(streamId);
+    const stream = context.incarnation().streams.get(streamId);
     if (stream === undefined) sendStreamUnknown(response, streamId);
     else attachReader(stream, response, Number(url.searchParams.get('from') ?? 0));
   };
 }
 
-/** `GET /v1/streams`. */
+/** Route of `GET /v1/streams`: lists the running streams. */
 export function listStreams(context: EngineContext): Route {
   return ({ response }) => {
-    const streams = [...context.life().streams.values()];
+    const streams = [...context.incarnation().streams.values()];
     const running = streams.filter((stream) => !hasEnded(stream)).map((stream) => stream.id);
     sendJson(response, Status.Ok, { running });
   };
 }
 
-/** `DELETE /v1/streams/:id`. */
+/** Route of `DELETE /v1/streams/:id`: cancels a stream. */
 export function cancel(context: EngineContext, streamId: string): Route {
   return ({ response }) => {
-    const life = context.life();
-    const stream = life.streams.get(streamId);
+    const incarnation = context.incarnation();
+    const stream = incarnation.streams.get(streamId);
     if (stream === undefined) {
       sendStreamUnknown(response, streamId);
       return;
     }
-    removeWork(life.batch, streamId);
-    life.streams.delete(streamId);
+    removeWork(incarnation.batch, streamId);
+    incarnation.streams.delete(streamId);
     for (const reader of stream.readers) reader.response.destroy();
     sendJson(response, Status.Ok, { cancelled: true });
   };
--- a/packages/stand-ins/src/core/engine/streams.ts
+++ b/packages/stand-ins/src/core/engine/streams.ts
@@ -1,11 +1,11 @@
 /**
- * The answers being made and lately ended. An answer goes on whoever reads it; each reader has its
- * own position in the one buffer, so that a slow reader costs no copy of the answer.
+ * Buffers the answers that are being generated or ended recently. Generation does not depend on
+ * the readers. Each reader has its own position in one shared buffer, so a slow reader needs no copy.
  */
 import type { ServerResponse } from 'node:http';
 import type { FinishReason } from '@cassiamast/ports';
 
-/** How a stream ended well. */
+/** Result of a stream that completed. */
 export interface StreamEnd {
   readonly reason: FinishReason;
   readonly promptTokens: number;
@@ -13,7 +13,7 @@
   readonly kvHandle: string | null;
 }
 
-/** How a stream ended badly; the `error` object of the protocol. */
+/** Failure of a stream: the `error` object of the protocol. */
 export interface StreamError {
   readonly code: string;
   readonly message: string;
@@ -25,7 +25,7 @@
   blocked: boolean;
 }
 
-/** One stream. */
+/** The buffered answer to one request. */
 export interface Stream {
   readonly id: string;
   readonly model: string;
@@ -41,7 +41,7 @@
 /** All streams of an engine, by id. */
 export type Streams = Map<string, Stream>;
 
-/** Makes a stream without readers. */
+/** Creates a stream without readers. */
 export function openStream(
   streams: Streams,
   id: string,
@@ -62,7 +62,7 @@
   return stream;
 }
 
-/** Adds a reader from a position; it gets what is there and all that follows. */
+/** Adds a reader that receives the buffered tokens from a position on and all later tokens. */
 export function attachReader(stream: Stream, response: ServerResponse, fromIndex: number): void {
   const reader: Reader = { response, nextIndex: fromIndex, blocked: false };
   stream.readers.add(reader);
@@ -76,13 +76,13 @@
   pump(stream, reader, 1);
 }
 
-/** Adds a token and writes it out once a reader has a group of them waiting. */
+/** Adds a token. Writes to a reader once a whole group of tokens is pending for it. */
 export function addToken(stream: Stream, token: string, groupSize: number): void {
   stream.tokens.push(token);
   for (const reader of stream.readers) pump(stream, reader, groupSize);
 }
 
-/** Ends a stream; its readers get the rest and the end. */
+/** Ends a stream and sends the remaining tokens and the result to its readers. */
 export function endStream(
   stream: Stream,
   outcome: { readonly end: StreamEnd } | { readonly error: StreamError },
@@ -94,13 +94,13 @@
   for (const reader of stream.readers) pump(stream, reader, 1);
 }
 
-/** Whether the stream will bring nothing new. */
+/** Returns whether the stream has completed or failed. */
 export function hasEnded(stream: Stream): boolean {
   return stream.end !== null || stream.error !== null;
 }
 
-/** Forgets ended streams that are too old or too many. */
-export function forgetEnded(
+/** Removes ended streams beyond the age limit or the count limit. */
+export function removeEnded(
   streams: Streams,
   nowMs: number,
   limits: { readonly keepEndedMs: number; readonly maxEnded: number },
@@ -108,8 +108,8 @@
   let excess = streams.size - limits.maxEnded;
   for (const stream of streams.values()) {
     if (!hasEnded(stream)) continue;
-    const old = nowMs - stream.endedAtMs > limits.keepEndedMs;
-    if (!old && excess <= 0) continue;
+    const isExpired = nowMs - stream.endedAtMs > limits.keepEndedMs;
+    if (!isExpired && excess <= 0) continue;
     streams.delete(stream.id);
     excess -= 1;
   }
@@ -119,8 +119,8 @@
   const { response } = reader;
   if (reader.blocked || response.destroyed || response.writableEnded) return;
   const from = Math.max(0, reader.nextIndex - stream.firstIndex);
-  const waiting = stream.tokens.length - from;
-  if (waiting > 0 && (waiting >= groupSize || hasEnded(stream))) {
+  const pendingTokens = stream.tokens.length - from;
+  if (pendingTokens > 0 && (pendingTokens >= groupSize || hasEnded(stream))) {
     const tokens = stream.tokens.slice(from);
     reader.nextIndex = stream.firstIndex + stream.tokens.length;
     reader.blocked = !response.write(tokensEvent(stream, stream.firstIndex + from, tokens));
--- a/packages/stand-ins/src/core/weight-store/weight-store.ts
+++ b/packages/stand-ins/src/core/weight-store/weight-store.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in of the rate-limited weight store. Engines take their share of the rate by
- * `POST /fetches`; past the most fetches at once it says "slow down".
+ * Emulates the rate-limited weight store. Engines fetch weights with `POST /fetches`. Fetches beyond the
+ * limit on concurrent fetches are rejected with a retry delay.
  */
 import type { Route } from '../http/http-server.js';
 import { sendJson, startHttpServer } from '../http/http-server.js';
@@ -9,9 +9,9 @@
 export interface WeightStoreOptions {
   readonly host?: string;
   readonly port?: number;
-  /** Shared by the running fetches. */
+  /** Total rate, divided equally among `maxFetches` fetches. */
   readonly rateMbPerS?: number;
-  /** More fetches at once are told to slow down. */
+  /** Maximum number of concurrent fetches. Further ones are rejected. */
   readonly maxFetches?: number;
   readonly retryAfterMs?: number;
 }
@@ -21,8 +21,8 @@
   readonly address: string;
   readonly port: number;
   readonly activeFetches: () => number;
-  /** Fetches that were told to slow down so far. */
-  readonly refusedFetches: () => number;
+  /** Returns the number of fetches rejected so far. */
+  readonly rejectedFetches: () => number;
   readonly stop: () => Promise<void>;
 }
 
@@ -32,7 +32,7 @@
 const MS_PER_S = 1_000;
 const TOO_MANY_REQUESTS = 429;
 
-/** Starts the stand-in. */
+/** Starts a weight store stand-in. */
 export async function startWeightStore(
   options: WeightStoreOptions = {},
 ): Promise<WeightStoreStandIn> {
@@ -40,11 +40,11 @@
   const maxFetches = options.maxFetches ?? DEFAULT_MAX_FETCHES;
   const retryAfterMs = options.retryAfterMs ?? DEFAULT_RETRY_AFTER_MS;
   let active = 0;
-  let refused = 0;
-  let lastRefusedAtMs = Number.NEGATIVE_INFINITY;
+  let rejected = 0;
+  let lastRejectedAtMs = Number.NEGATIVE_INFINITY;
 
   const status: Route = ({ response }) => {
-    const sinceMs = performance.now() - lastRefusedAtMs;
+    const sinceMs = performance.now() - lastRejectedAtMs;
     sendJson(response, 200, {
       rate_mb_per_s: rateMbPerS,
       active_fetches: active,
@@ -53,13 +53,13 @@
   };
   const fetchWeights: Route = ({ body, response }) => {
     if (active >= maxFetches) {
-      refused += 1;
-      lastRefusedAtMs = performance.now();
+      rejected += 1;
+      lastRejectedAtMs = performance.now();
       sendJson(response, TOO_MANY_REQUESTS, { retry_after_ms: retryAfterMs });
       return;
     }
     active += 1;
-    // A fetch gets an equal part of the rate even while it is alone: the worst case, kept simple.
+    // A single fetch also gets only an equal share of the rate, which is a simple worst case.
     const sizeMb = typeof body.size_mb === 'number' ? body.size_mb : 0;
     const durationMs = (sizeMb / (rateMbPerS / maxFetches)) * MS_PER_S;
     const timer = setTimeout(() => {
@@ -83,7 +83,7 @@
     address: server.address,
     port: server.port,
     activeFetches: () => active,
-    refusedFetches: () => refused,
+    rejectedFetches: () => rejected,
     stop: server.stop,
   };
 }
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,12 +1,12 @@
 /**
- * Private stand-ins of the outside systems, small and true to their protocols, for tests, the demo
- * and the benchmarks.
+ * Emulators of the external systems for tests, the demo and the benchmarks. They implement the same
+ * protocols on a small scale.
  */
 export * from './core/engine/answer.js';
 export type { EngineStandIn } from './core/engine/engine.js';
 export { startEngine } from './core/engine/engine.js';
 export type { EngineFaults } from './core/engine/faults.js';
-export type { EngineOptions, HeldModel, RoleSpeed } from './core/engine/options.js';
+export type { EngineOptions, LoadedModel, RoleSpeed } from './core/engine/options.js';
 export { DEFAULT_ENGINE } from './core/engine/options.js';
 export { tokenize } from './core/engine/prompt.js';
 export type { EngineCounts } from './core/engine/state.js';
--- a/packages/stand-ins/test/core/engine/answer.test.ts
+++ b/packages/stand-ins/test/core/engine/answer.test.ts
@@ -1,4 +1,4 @@
-/** The checker of answers: what it takes for whole, cut, too long and wrong. */
+/** Tests which answers the checker reports as whole, cut, too long and wrong. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
@@ -36,7 +36,7 @@
       assert.equal(checkAnswer('prompt', 30, ''), AnswerVerdict.Cut);
     });
 
-    it('is too long when it goes on', () => {
+    it('is too long when it continues past the end', () => {
       assert.equal(checkAnswer('prompt', 30, `${whole} more`), AnswerVerdict.TooLong);
     });
 
@@ -45,7 +45,7 @@
       assert.equal(checkAnswer('prompt', 30, other), AnswerVerdict.Wrong);
     });
 
-    it('is wrong when a token stands twice, or two runs are joined', () => {
+    it('is wrong when a token is repeated, or two runs are joined', () => {
       const source = answerSource('prompt', 5);
       const tokens = Array.from({ length: 30 }, (_, index) => answerToken(source, index));
       const doubled = [...tokens.slice(0, 10), ...tokens.slice(9)].join('');
--- a/packages/stand-ins/test/core/engine/batch.test.ts
+++ b/packages/stand-ins/test/core/engine/batch.test.ts
@@ -1,4 +1,4 @@
-/** Continuous batching as a pure model: what a step costs and whom it serves. */
+/** Tests the continuous batching model: the duration of a step and the requests that it serves. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { EngineRole } from '@cassiamast/coordination';
@@ -50,7 +50,7 @@
 
 describe('batch', () => {
   describe('a step', () => {
-    it('does not exist without work', () => {
+    it('is null without work', () => {
       assert.equal(new Bench().step().durationMs, null);
     });
 
@@ -63,9 +63,9 @@
       assert.equal(bench.step().durationMs, 10 + 2 + (101 + 50) / 1_000 + 5);
     });
 
-    it('computes a long prompt in chunks beside a running answer', () => {
-      // A long maintenance history arrives while a one-line finding is written: the finding's
-      // tokens go on at every step, the history's first token comes after three of them.
+    it('prefills a long prompt in chunks alongside a running answer', () => {
+      // A long prompt arrives while a short answer is decoding. The short answer gets a token at every
+      // step; the first token of the long prompt comes after three steps.
       const bench = new Bench();
       bench.add('short', words(10), { maxTokens: 50 });
       bench.step();
@@ -89,8 +89,8 @@
     });
   });
 
-  describe('the waiting line', () => {
-    it('lets higher priority in first, then who came first', () => {
+  describe('the queue', () => {
+    it('admits by priority, then by arrival', () => {
       const bench = new Bench();
       bench.add('low', words(5), { priority: 1 });
       bench.add('high-1', words(5), { priority: 9 });
@@ -99,7 +99,7 @@
       assert.equal(bench.batch.waiting[0]?.request.streamId, 'low');
     });
 
-    it('holds back what does not fit in the cache memory', () => {
+    it('holds requests that do not fit in the cache memory', () => {
       const bench = new Bench({ ...BASE, kvCapacityTokens: 100 });
       bench.add('a', words(60));
       bench.add('b', words(60, 'x'));
@@ -109,7 +109,7 @@
   });
 
   describe('the prefix cache', () => {
-    it('spares the computing of a shared beginning', () => {
+    it('avoids the prefill of a shared prefix', () => {
       const bench = new Bench();
       const shared = words(64);
       bench.add('a', `${shared} ${words(10, 'x')}`, { maxTokens: 1 });
@@ -119,7 +119,7 @@
       assert.equal(second.cachedTokens, 64);
     });
 
-    it('gives way to running requests', () => {
+    it('shrinks to make room for running requests', () => {
       const bench = new Bench({ ...BASE, kvCapacityTokens: 100 });
       bench.add('a', words(64), { maxTokens: 1 });
       bench.step();
@@ -131,9 +131,9 @@
   });
 
   describe('running out of cache memory', () => {
-    it('gives up the least important, latest answer and no other', () => {
-      // Two answers grow until the memory is full. The later one breaks off with its name on the
-      // failure; the earlier one goes on.
+    it('drops only the latest answer of the lowest priority', () => {
+      // Two answers grow until the memory is full. The later one is dropped with a named failure, and
+      // the earlier one continues.
       const bench = new Bench({ ...BASE, kvCapacityTokens: 100 });
       bench.add('first', words(48), { maxTokens: 90 });
       bench.add('second', words(48, 'x'), { maxTokens: 90 });
@@ -148,8 +148,8 @@
     });
   });
 
-  describe('a request that kills the engine', () => {
-    it('does so after its first tokens, whoever else is in the batch', () => {
+  describe('a request that crashes the engine', () => {
+    it('does so after its first tokens, regardless of other requests in the batch', () => {
       const bench = new Bench({ ...BASE, crashAfterTokens: 1 });
       bench.add('innocent', words(5));
       bench.add('bad', `${words(5)} ${BASE.crashMarker}`);
--- a/packages/stand-ins/test/core/engine/faults.test.ts
+++ b/packages/stand-ins/test/core/engine/faults.test.ts
@@ -1,4 +1,4 @@
-/** What goes wrong with engines: crashes, KV transfers, reports. */
+/** Tests the injected faults of the engine: crashes, failed KV transfers, frozen reports. */
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, describe, it } from 'node:test';
 import {
@@ -24,9 +24,9 @@
   const isBack = () => until(async () => (await pair.client.state()).isOk());
 
   describe('a crash on a marked request', () => {
-    it('breaks every answer in the batch and forgets them, and the engine comes back', async () => {
-      // One request crashes whatever engine runs it. An innocent answer in the same batch breaks
-      // off too; after the restart the engine knows neither, under a new epoch.
+    it('aborts and loses every answer in the batch, and the engine restarts', async () => {
+      // One request crashes any engine that runs it. Another answer in the same batch is aborted too.
+      // After the restart the engine has a new epoch and knows neither stream.
       const innocent = readAll((handlers) =>
         pair.client.generate(work({ streamId: 'innocent', maxTokens: 100_000 }), handlers),
       );
@@ -37,7 +37,7 @@
       const broken = await innocent;
       assert.ok(bad.failure !== null && ENGINE_ANSWER_LOST.is(bad.failure));
       assert.ok(broken.failure !== null && ENGINE_ANSWER_LOST.is(broken.failure));
-      // The last tokens may die on the way, as they do when a process is killed.
+      // The last tokens may be lost in transit, as they are when a process is killed.
       assert.ok(bad.tokens.length <= DEFAULT_ENGINE.crashAfterTokens);
       await isBack();
       const again = await readAll((handlers) => pair.client.resumeStream('innocent', 0, handlers));
@@ -46,7 +46,7 @@
       assert.equal((await pair.client.state())._unsafeUnwrap().epoch, 'engine-2');
     });
 
-    it('leaves tokens from which another engine goes on with the same text', async () => {
+    it('leaves tokens from which another engine continues the same text', async () => {
       const request = work({ maxTokens: 300 });
       const half = await readAll(
         (handlers) => pair.client.generate(request, handlers),
@@ -64,7 +64,7 @@
   });
 
   describe('KV cache', () => {
-    it('computed on one engine spares the prompt on another', async () => {
+    it('computed on one engine avoids the prefill on another', async () => {
       const other = await startPair({ name: 'other' });
       const first = await readAll((handlers) =>
         pair.client.generate(work({ prompt: LONG_PROMPT, prefillOnly: true }), handlers),
@@ -79,7 +79,7 @@
       assert.equal(second.finished?.cachedTokens, 100);
     });
 
-    it('that breaks off on the way is a named failure, and the prompt is computed anew', async () => {
+    it('whose transfer fails is a named failure, and the prompt is prefilled again', async () => {
       const other = await startPair({ name: 'other' });
       const failed = await other.client.importKv('no-such-handle', pair.engine.address);
       assert.ok(failed.isErr() && ENGINE_KV_TRANSFER_FAILED.is(failed.error));
@@ -91,7 +91,7 @@
       assert.equal(second.text, expectedAnswer(LONG_PROMPT, 7, 8));
     });
 
-    it('export fails halfway when told to', async () => {
+    it('export fails halfway when the fault is set', async () => {
       pair.engine.setFaults({ failKvExports: 1 });
       const reading = await readAll((handlers) =>
         pair.client.generate(work({ prompt: LONG_PROMPT, prefillOnly: true }), handlers),
@@ -101,8 +101,8 @@
   });
 
   describe('cache memory', () => {
-    it('that runs out in mid-answer ends it by name', async () => {
-      // Steps are long, so that both answers are under way at once however slow this process is.
+    it('that runs out during an answer ends it with a named failure', async () => {
+      // Long steps keep both answers in the batch together even if this process is slow.
       const small = await startPair({ kvCapacityTokens: 60, stepBaseMs: 10 });
       const prompt = 'one two three four five';
       const readings = await Promise.all(
@@ -120,7 +120,7 @@
   });
 
   describe('reports', () => {
-    it('of load freeze when told to, and start again after a crash', async () => {
+    it('of load freeze when the fault is set, and start again after a crash', async () => {
       const sequence = async () => (await pair.client.load())._unsafeUnwrap().sequence;
       await until(async () => (await sequence()) > 3);
       const before = (await pair.client.load())._unsafeUnwrap();
@@ -145,7 +145,7 @@
     });
   });
 
-  describe('switches over HTTP', () => {
+  describe('faults set over HTTP', () => {
     it('crash the engine from another process', async () => {
       await fetch(`${pair.engine.address}/faults`, {
         method: 'POST',
--- a/packages/stand-ins/test/core/engine/load-report.test.ts
+++ b/packages/stand-ins/test/core/engine/load-report.test.ts
@@ -1,10 +1,10 @@
-/** Load reports tell the past. */
+/** Tests the delay and the freezing of load reports. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import {
   createLoadReports,
-  reportToTell,
-  takeReport,
+  newestVisibleReport,
+  recordReport,
 } from '../../../src/core/engine/load-report.js';
 
 const FIGURES = {
@@ -18,20 +18,20 @@
 };
 
 describe('load reports', () => {
-  it('tell the newest that is old enough', () => {
+  it('return the newest report that is old enough', () => {
     const reports = createLoadReports();
     for (const atMs of [0, 100, 200, 300]) {
-      takeReport(reports, 'e', { ...FIGURES, running_requests: atMs }, atMs);
+      recordReport(reports, 'e', { ...FIGURES, running_requests: atMs }, atMs);
     }
-    assert.equal(reportToTell(reports, 150, 300)?.running_requests, 100);
-    assert.equal(reportToTell(reports, 150, 360)?.running_requests, 200);
+    assert.equal(newestVisibleReport(reports, 150, 300)?.running_requests, 100);
+    assert.equal(newestVisibleReport(reports, 150, 360)?.running_requests, 200);
   });
 
   it('stay the same while frozen', () => {
     const reports = createLoadReports();
-    takeReport(reports, 'e', FIGURES, 0);
+    recordReport(reports, 'e', FIGURES, 0);
     reports.frozen = true;
-    takeReport(reports, 'e', FIGURES, 100);
-    assert.equal(reportToTell(reports, 0, 1_000)?.sequence, 1);
+    recordReport(reports, 'e', FIGURES, 100);
+    assert.equal(newestVisibleReport(reports, 0, 1_000)?.sequence, 1);
   });
 });
--- a/packages/stand-ins/test/core/engine/orders.test.ts
+++ b/packages/stand-ins/test/core/engine/orders.test.ts
@@ -1,4 +1,4 @@
-/** Orders to the engine stand-in, given through the product's own adapter. */
+/** Tests orders to the engine stand-in, issued through the product's own client. */
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, describe, it } from 'node:test';
 import { EngineRole } from '@cassiamast/coordination';
@@ -14,7 +14,7 @@
 import type { EnginePair } from '../../fixtures/engines.js';
 import { readAll, startPair, until, work } from '../../fixtures/engines.js';
 
-/** Longer than any test runs: the engine stays away. */
+/** Longer than any test runs, so the engine stays unavailable. */
 const NEVER_MS = 3_600_000;
 
 const TO_DECODE: EngineOrder = {
@@ -35,7 +35,7 @@
   const isDone = (orderId: string) => until(async () => (await state()).lastOrderDone === orderId);
 
   describe('a role change', () => {
-    it('takes the engine away', async () => {
+    it('makes the engine unavailable', async () => {
       const away = await startPair({ roleChangeMs: NEVER_MS });
       const begun = (await away.client.order(TO_DECODE))._unsafeUnwrap();
       assert.equal(begun.orderInProgress, 'o1');
@@ -45,13 +45,13 @@
       assert.equal(refused.failure.data.mayHaveRun, false);
     });
 
-    it('is seen in its state when done', async () => {
+    it('appears in the engine state when done', async () => {
       await pair.client.order(TO_DECODE);
       await isDone('o1');
       assert.equal((await state()).role, EngineRole.Decode);
     });
 
-    it('cuts what still runs, and counts it', async () => {
+    it('aborts running requests and counts them', async () => {
       const reading = readAll(
         (handlers) => pair.client.generate(work({ maxTokens: 100_000 }), handlers),
         (count) => {
@@ -64,7 +64,7 @@
       assert.equal(pair.engine.counts().cutByRoleChange, 1);
     });
 
-    it('is done once although it is sent twice', async () => {
+    it('is executed once although it is sent twice', async () => {
       await pair.client.order(TO_DECODE);
       await isDone('o1');
       assert.ok((await pair.client.order(TO_DECODE)).isOk());
@@ -72,9 +72,9 @@
       assert.equal(pair.engine.counts().roleChanges, 1);
     });
 
-    it('of which the answer is lost is found done by reading back', async () => {
-      // The planner's order is carried out, but its answer never arrives. Whoever gives it again
-      // blindly takes the engine away twice; the state tells that it is done.
+    it('whose answer is lost is found done by reading the state', async () => {
+      // The planner's order is executed, but its answer is lost. Issuing the role change again without
+      // a check would make the engine unavailable twice; the state shows that it is done.
       pair.engine.setFaults({ loseOrderAnswers: 1 });
       const lost = await pair.client.order(TO_DECODE);
       assert.ok(lost.isErr() && ENGINE_ANSWER_LOST.is(lost.error));
@@ -83,7 +83,7 @@
       assert.equal(pair.engine.counts().roleChanges, 1);
     });
 
-    it('during which the engine crashes leaves the role of its start', async () => {
+    it('that a crash interrupts leaves the role from startup', async () => {
       pair.engine.setFaults({ crashDuringOrders: 1 });
       const before = (await state()).epoch;
       await pair.client.order(TO_DECODE);
@@ -98,7 +98,7 @@
   });
 
   describe('fencing', () => {
-    it('refuses an order from a holder that has been replaced', async () => {
+    it('rejects an order from a replaced holder', async () => {
       await pair.client.order(TO_DECODE);
       await isDone('o1');
       const late = await pair.client.order({ ...TO_DECODE, orderId: 'o2', fence: 9 });
@@ -107,7 +107,7 @@
       assert.equal(late.error.data.mayHaveRun, false);
     });
 
-    it('is ignored by an engine that does not check, which counts what it obeyed', async () => {
+    it('is ignored by an engine that does not check it, which counts the stale orders that it executed', async () => {
       const careless = await startPair({ checksFencing: false });
       await careless.client.order(TO_DECODE);
       await until(
@@ -119,7 +119,7 @@
       assert.equal(careless.engine.counts().staleOrdersObeyed, 1);
     });
 
-    it('counts a second order while one is carried out', async () => {
+    it('counts a second order while one is in progress', async () => {
       const away = await startPair({ roleChangeMs: NEVER_MS });
       await away.client.order(TO_DECODE);
       const second = await away.client.order({ ...TO_DECODE, orderId: 'o2', fence: 11 });
@@ -140,7 +140,7 @@
       adapter: null,
     });
 
-    it('goes on beside the work, and the model is held when it is done', async () => {
+    it('runs alongside requests, and the model is loaded when it is done', async () => {
       await pair.client.order(load('l1', 'extra'));
       const reading = await readAll((handlers) => pair.client.generate(work(), handlers));
       assert.equal(reading.failure, null);
@@ -149,9 +149,9 @@
       assert.deepEqual(names, ['stand-in', 'extra']);
     });
 
-    it('waits when the weight store says slow down, and is done in the end', async () => {
-      // Three engines are told to load while the store is busy with somebody else. Each is told to
-      // slow down, asks again, and holds the model once the store has room.
+    it('waits when the weight store rejects a fetch, and completes later', async () => {
+      // Three engines get load orders while the store is at its fetch limit. Each fetch is rejected and
+      // retried, and the model is loaded once the store has capacity.
       const store = await startWeightStore({ rateMbPerS: 100_000, maxFetches: 1, retryAfterMs: 2 });
       const somebody = new AbortController();
       const held = fetch(`${store.address}/fetches`, {
@@ -164,7 +164,7 @@
         ['a', 'b', 'c'].map((name) => startPair({ name, weightStore: store.address })),
       );
       await Promise.all(engines.map(({ client }) => client.order(load('l1', 'extra'))));
-      await until(() => store.refusedFetches() >= engines.length);
+      await until(() => store.rejectedFetches() >= engines.length);
       assert.ok(engines.every(({ engine }) => engine.counts().loads === 0));
       somebody.abort();
       await held;
--- a/packages/stand-ins/test/core/engine/prefix-cache.test.ts
+++ b/packages/stand-ins/test/core/engine/prefix-cache.test.ts
@@ -1,4 +1,4 @@
-/** The prefix cache and its unreliable events. */
+/** Tests the prefix cache and its delayed and lossy events. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { CacheEventKind } from '@cassiamast/ports';
@@ -16,7 +16,7 @@
 
 describe('prefix cache', () => {
   describe('lookup', () => {
-    it('counts the longest beginning only', () => {
+    it('counts only the longest cached prefix', () => {
       const cache = createPrefixCache('e');
       storeBlocks(cache, ['a', 'b', 'd'], 0, PROMPT);
       assert.equal(cachedPrefixTokens(cache, ['a', 'b', 'c', 'd']), 2 * BLOCK_TOKENS);
@@ -25,7 +25,7 @@
   });
 
   describe('eviction', () => {
-    it('takes the least recently used', () => {
+    it('removes the least recently used blocks', () => {
       const cache = createPrefixCache('e');
       storeBlocks(cache, ['a', 'b', 'c'], 0, PROMPT);
       cachedPrefixTokens(cache, ['a']);
@@ -35,7 +35,7 @@
   });
 
   describe('events', () => {
-    it('come late and in order, each change once', () => {
+    it('are delayed and in order, one per change', () => {
       const cache = createPrefixCache('e');
       storeBlocks(cache, ['a'], 100, { ...PROMPT, cacheEventLagMs: 50 });
       clearCache(cache, 120, { ...PROMPT, cacheEventLagMs: 50 });
@@ -45,7 +45,7 @@
       assert.equal(eventsAfter(cache, 1, 170).length, 1);
     });
 
-    it('are missing now and then, which shows in their numbers', () => {
+    it('are lost at the configured rate, which leaves gaps in the sequence numbers', () => {
       const cache = createPrefixCache('e');
       for (const block of ['a', 'b', 'c', 'd']) {
         storeBlocks(cache, [block], 0, { ...PROMPT, cacheEventGapEvery: 2 });
@@ -56,7 +56,7 @@
       );
     });
 
-    it('are kept for a bounded while', () => {
+    it('are kept up to a limit', () => {
       const cache = createPrefixCache('e');
       for (let at = 0; at < 5_000; at++) storeBlocks(cache, [String(at)], 0, PROMPT);
       assert.equal(eventsAfter(cache, 0, 0).length, 4_096);
--- a/packages/stand-ins/test/core/engine/streams.test.ts
+++ b/packages/stand-ins/test/core/engine/streams.test.ts
@@ -1,4 +1,4 @@
-/** Streams of the engine stand-in, read through the product's own adapter. */
+/** Tests streams of the engine stand-in through the product's own client. */
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, describe, it } from 'node:test';
 import {
@@ -31,7 +31,7 @@
       assert.equal(pair.engine.runsOf(request.prompt), 1);
     });
 
-    it('stays apart from others in the same batch', async () => {
+    it('does not mix with others in the same batch', async () => {
       const readings = await Promise.all(
         Array.from({ length: 30 }, async (_, at) => {
           const request = work({
@@ -46,7 +46,7 @@
       assert.deepEqual(new Set(readings), new Set([true]));
     });
 
-    it('goes on after the tokens that the caller has, and repeats none', async () => {
+    it('continues after the tokens that the caller has, and repeats none', async () => {
       const whole = await readAll((handlers) => pair.client.generate(work(), handlers));
       const request = work({ streamId: 's2', continueFrom: whole.tokens.slice(0, 5) });
       const rest = await readAll((handlers) => pair.client.generate(request, handlers));
@@ -57,9 +57,9 @@
   });
 
   describe('a broken connection', () => {
-    it('leaves the answer running, to be taken up from any token', async () => {
-      // A sidecar loses its connection to the engine after a few tokens. It sees the break, takes
-      // the stream up by its id, and has the whole answer without a token twice.
+    it('leaves the answer running, so it can be resumed from any token', async () => {
+      // A sidecar loses its connection to the engine after a few tokens. It resumes the stream by its
+      // id and gets the whole answer without a repeated token.
       const request = work({ maxTokens: 200 });
       const first = await readAll(
         (handlers) => pair.client.generate(request, handlers),
@@ -75,7 +75,7 @@
       assert.equal(first.text + rest.text, expectedAnswer(request.prompt, request.seed, 200));
     });
 
-    it('is told from an engine that never saw the request', async () => {
+    it('is distinguished from an engine that never received the request', async () => {
       await pair.engine.stop();
       const reading = await readAll((handlers) => pair.client.generate(work(), handlers));
       assert.ok(reading.failure !== null && ENGINE_UNREACHABLE.is(reading.failure));
@@ -90,7 +90,7 @@
       assert.deepEqual(again, first);
     });
 
-    it('is unknown when it was cancelled, and that does not say it never ran', async () => {
+    it('is unknown when it was cancelled, which does not mean that it never ran', async () => {
       await readAll((handlers) => pair.client.generate(work(), handlers));
       assert.ok((await pair.client.cancel('s1')).isOk());
       const again = await readAll((handlers) => pair.client.resumeStream('s1', 0, handlers));
@@ -100,9 +100,9 @@
   });
 
   describe('the running streams', () => {
-    it('are told by their ids, as of now', async () => {
-      // A sidecar is restarted while its engine goes on. It must learn what still runs there; the
-      // load report is too old to tell.
+    it('are listed by id without delay', async () => {
+      // A sidecar restarts while its engine keeps running. It needs the list of running streams,
+      // because the load report is delayed.
       const running: (readonly string[])[] = [];
       void readAll(
         (handlers) => pair.client.generate(work({ maxTokens: 100_000 }), handlers),
@@ -121,7 +121,7 @@
   });
 
   describe('a cancel', () => {
-    it('takes a running request out of the batch', async () => {
+    it('removes a running request from the batch', async () => {
       const request = work({ maxTokens: 100_000 });
       const stream = await new Promise<{ cancel: () => void }>((resolve) => {
         const opened = pair.client.generate(request, {
@@ -138,7 +138,7 @@
     });
   });
 
-  describe('a refusal', () => {
+  describe('a rejection', () => {
     it('of a stream id that is in use says that the request may have run', async () => {
       await readAll((handlers) => pair.client.generate(work(), handlers));
       const twice = await readAll((handlers) => pair.client.generate(work(), handlers));
@@ -155,7 +155,7 @@
       assert.equal(pair.engine.runsOf(request.prompt), 0);
     });
 
-    it('comes when the waiting line is full', async () => {
+    it('comes when the queue is full', async () => {
       const full = await startPair({ maxWaiting: 0 });
       const reading = await readAll((handlers) => full.client.generate(work(), handlers));
       await full.stop();
--- a/packages/stand-ins/test/core/weight-store/weight-store.test.ts
+++ b/packages/stand-ins/test/core/weight-store/weight-store.test.ts
@@ -1,4 +1,4 @@
-/** The weight store says slow down past its fetches at once. */
+/** Tests that the weight store rejects fetches beyond its limit on concurrent fetches. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { createWeightStoreClient, WEIGHT_STORE_UNAVAILABLE } from '@cassiamast/ports';
@@ -6,7 +6,7 @@
 import { until } from '../../fixtures/engines.js';
 
 describe('weight store', () => {
-  it('refuses more fetches than it gives at once, and says so in its status', async () => {
+  it('rejects fetches beyond the concurrency limit, and shows it in its status', async () => {
     const store = await startWeightStore({ maxFetches: 1, rateMbPerS: 1, retryAfterMs: 60_000 });
     const client = createWeightStoreClient({ address: store.address });
     const fetchMb = (sizeMb: number) =>
