--- a/packages/stand-ins/src/core/http/free-port.ts
+++ b/packages/stand-ins/src/core/http/free-port.ts
@@ -1,37 +1,37 @@
 /**
- * Free ports of the loopback address for processes that are told their ports beforehand. Chosen below
- * the range from which the operating system takes the ports of outgoing connections: one from there
- * may be taken by any connection before its process listens, which shows as a process that can't bind.
- * Single ports and blocks come from ranges of their own.
+ * Finds free loopback ports for processes whose ports are configured before they start. The ports lie
+ * below the ephemeral port range of the operating system: any outgoing connection may take an
+ * ephemeral port before the process listens, and the process then fails to bind. Single ports and
+ * blocks come from separate ranges.
  */
 import { randomInt } from 'node:crypto';
 import { createSocket } from 'node:dgram';
 import { type Server, createServer } from 'node:net';
 
 const HOST = '127.0.0.1';
-/** Below are the ports that commands are given by hand. */
+/** The ports below this one are for manual use in commands. */
 const FIRST_BLOCK_PORT = 16_384;
 const FIRST_SINGLE_PORT = 22_016;
-/** Where the ports of outgoing connections begin on Linux. */
+/** First port of the ephemeral range on Linux. */
 const END_PORT = 32_768;
-/** Ports of a block: the first is its lock, the others are for whoever reserved it. */
+/** Ports per block. The first is the lock; the others are available to the owner of the block. */
 const BLOCK_PORTS = 128;
 const BLOCKS = (FIRST_SINGLE_PORT - FIRST_BLOCK_PORT) / BLOCK_PORTS;
 
-/** Ports that this process was given; one that nobody listens on yet is still free to look at. */
-const given = new Set<number>();
+/** Ports already returned in this process. A port without a listener still looks free. */
+const returnedPorts = new Set<number>();
 
-/** A port that nothing listens on at this moment, and that this process was not given before. */
+/** Returns a port that has no listener now and that was not returned before in this process. */
 export async function freePort(): Promise<number> {
   for (;;) {
     const port = randomInt(FIRST_SINGLE_PORT, END_PORT);
-    if (given.has(port) || !(await isFree(port))) continue;
-    given.add(port);
+    if (returnedPorts.has(port) || !(await isFree(port))) continue;
+    returnedPorts.add(port);
     return port;
   }
 }
 
-/** Consecutive ports that no other rig takes until they are released. */
+/** Consecutive ports that no other test rig uses until they are released. */
 export interface PortBlock {
   readonly first: number;
   readonly count: number;
@@ -39,15 +39,14 @@
 }
 
 /**
- * Reserves ports for processes that are killed and started again. Failure guarded against: nothing
- * holds a port while its process is dead, and a rig beside this one takes it; it shows as a process
- * that can't bind when it is started again. The guard holds because whoever reserved a block listens
- * on its first port, which only one can.
+ * Reserves ports for processes that are killed and restarted. Without a reservation, another test rig
+ * can take a port while its process is down, and the restarted process fails to bind. The owner of a
+ * block listens on its first port as a lock, which only one process can do.
  */
 export async function reservePortBlock(): Promise<PortBlock> {
-  const start = randomInt(BLOCKS);
-  for (let at = 0; at < BLOCKS; at += 1) {
-    const lockPort = FIRST_BLOCK_PORT + ((start + at) % BLOCKS) * BLOCK_PORTS;
+  const firstIndex = randomInt(BLOCKS);
+  for (let offset = 0; offset < BLOCKS; offset += 1) {
+    const lockPort = FIRST_BLOCK_PORT + ((firstIndex + offset) % BLOCKS) * BLOCK_PORTS;
     const lock = await tryListen(lockPort);
     if (lock === null) continue;
     const first = lockPort + 1;
@@ -71,7 +70,7 @@
   return server !== null;
 }
 
-/** Listens on a port; null where another process does. The listener keeps no process running. */
+/** Listens on a port. Returns null if the port is in use. The listener does not keep the process alive. */
 function tryListen(port: number): Promise<Server | null> {
   return new Promise((resolve) => {
     const server = createServer();
--- a/packages/stand-ins/src/core/http/http-server.ts
+++ b/packages/stand-ins/src/core/http/http-server.ts
@@ -1,18 +1,18 @@
 /**
- * The HTTP side that all stand-ins share: exact routes, JSON bodies, and a stop that breaks every
- * open connection at once, as the death of a process does.
+ * HTTP server shared by all stand-ins: routes by method and path, JSON bodies, and a stop that closes
+ * all open connections at once, like a process crash.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { createServer } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 
-/** Bodies are prompts of some tens of thousands of words, and values up to a megabyte. */
+/** Leaves room for prompts of tens of thousands of words and for values of up to a megabyte. */
 const MAX_BODY_BYTES = 8 * 1024 * 1024;
 
-/** A JSON object of unknown content. */
+/** A JSON object with unknown fields. */
 export type JsonBody = Record<string, unknown>;
 
-/** One request as a route sees it. */
+/** A request and its response, as passed to a route. */
 export interface Exchange {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
@@ -22,13 +22,13 @@
   readonly rawBody: Buffer;
 }
 
-/** Answers one request; may go on after it returns. */
+/** Answers one request, possibly after it returns. */
 export type Route = (exchange: Exchange) => void | Promise<void>;
 
 /** Options of {@link startHttpServer}. */
 export interface HttpServerOptions {
   readonly host: string;
-  /** 0 takes any free port. */
+  /** 0 selects any free port. */
   readonly port: number;
   /** Finds the route of a request, or null for 404. */
   readonly route: (method: string, path: string) => Route | null;
@@ -42,13 +42,13 @@
   readonly port: number;
   /** Base address such as `http://127.0.0.1:21000`. */
   readonly address: string;
-  /** Breaks every open connection and goes on listening. */
+  /** Closes every open connection and keeps listening. */
   readonly breakConnections: () => void;
-  /** Breaks every connection and stops listening. */
+  /** Closes every connection and stops listening. */
   readonly stop: () => Promise<void>;
 }
 
-/** Starts to listen. Rejects with Node's own error when the port is taken. */
+/** Starts a server. Rejects with Node's error if the port is in use. */
 export async function startHttpServer(options: HttpServerOptions): Promise<HttpServer> {
   const server = createServer((request, response) => {
     void serve(options, request, response);
@@ -93,7 +93,7 @@
   await route({ request, response, url, body: parseBody(rawBody), rawBody });
 }
 
-/** The whole body, or null when the connection broke or the body is too large. */
+/** Reads the whole body. Returns null if the connection closes first or the body is too large. */
 function readBody(request: IncomingMessage): Promise<Buffer | null> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
@@ -117,12 +117,12 @@
     const value: unknown = JSON.parse(raw.toString('utf8'));
     if (typeof value === 'object' && value !== null) return value as JsonBody;
   } catch {
-    // Not JSON: routes that need JSON answer 400 for its missing fields.
+    // Not JSON. Routes that need JSON answer 400 for the missing fields.
   }
   return {};
 }
 
-/** Answers with JSON. Does nothing when the answer has begun or its connection is gone. */
+/** Sends a JSON response. Does nothing if a response has started or the connection is closed. */
 export function sendJson(response: ServerResponse, status: number, body: unknown): void {
   if (response.headersSent || response.destroyed) return;
   const text = JSON.stringify(body);
--- a/packages/stand-ins/src/core/key-value/faults.ts
+++ b/packages/stand-ins/src/core/key-value/faults.ts
@@ -1,24 +1,24 @@
 /**
- * Faults of the key-value stand-in, set by its handle or by `POST /faults`.
+ * Injectable faults of the key-value stand-in, set through its handle or by `POST /faults`.
  */
 
-/** What is wrong with the service at the moment. */
+/** Faults to inject. Counts decrease by one with each occurrence. */
 export interface KeyValueFaults {
-  /** Refuses connections' requests by breaking them, and breaks the watches. */
+  /** Whether the service closes the connection of every request and of every watch. */
   down: boolean;
-  /** Each answer waits this long. */
+  /** Delay of each answer. */
   slowMs: number;
-  /** That many of the next writes take effect, but their connection breaks before the answer. */
+  /** Number of upcoming writes that take effect but whose connection closes before the answer. */
   loseAnswers: number;
-  /** That many of the next changes are told to no watch. */
+  /** Number of upcoming changes that are sent to no watch. */
   dropWatchEvents: number;
-  /** That many of the next changes are told to each watch twice. */
+  /** Number of upcoming changes that are sent to each watch twice. */
   repeatWatchEvents: number;
-  /** That many of the next changes are followed by the key's oldest change still in the history. */
+  /** Number of upcoming changes that are followed by the key's oldest change in the watch history. */
   staleWatchEvents: number;
 }
 
-/** No fault. */
+/** Returns settings that inject no fault. */
 export function noFaults(): KeyValueFaults {
   return {
     down: false,
@@ -30,8 +30,8 @@
   };
 }
 
-/** Takes one of a limited number of occurrences. */
-export function takeOne(
+/** Consumes one occurrence of a counted fault. Returns whether the fault occurs now. */
+export function consumeFault(
   faults: KeyValueFaults,
   name: 'loseAnswers' | 'dropWatchEvents' | 'repeatWatchEvents' | 'staleWatchEvents',
 ): boolean {
--- a/packages/stand-ins/src/core/key-value/key-value.ts
+++ b/packages/stand-ins/src/core/key-value/key-value.ts
@@ -1,12 +1,12 @@
 /**
- * A stand-in of the key-value service: a subset of the etcd v3 JSON gateway in one process, with
- * every call counted by kind and with the service's known faults at the push of a switch.
+ * Emulates the key-value service: a subset of the etcd v3 JSON gateway in one process. Counts calls by
+ * kind and injects the known faults of the service on request.
  */
 import type { Exchange, JsonBody, Route } from '../http/http-server.js';
 import { sendJson, startHttpServer } from '../http/http-server.js';
 import { delay } from '../time/delay.js';
 import type { KeyValueFaults } from './faults.js';
-import { noFaults, takeOne } from './faults.js';
+import { noFaults, consumeFault } from './faults.js';
 import type { Store, StoredChange } from './store.js';
 import * as storage from './store.js';
 import { createWatches } from './watches.js';
@@ -28,9 +28,9 @@
 /** Options of {@link startKeyValue}. */
 export interface KeyValueOptions {
   readonly host?: string;
-  /** 0 takes any free port. */
+  /** 0 selects any free port. */
   readonly port?: number;
-  /** Monotonic clock, in milliseconds; leases lapse by it. */
+  /** Monotonic clock, in milliseconds; used for lease expiry. */
   readonly nowMs?: () => number;
 }
 
@@ -38,19 +38,19 @@
 export interface KeyValueStandIn {
   readonly address: string;
   readonly port: number;
-  /** The faults in force; assign to its fields to change them, or use {@link setFaults}. */
+  /** The active faults. Use `setFaults` to change them. */
   readonly faults: Readonly<KeyValueFaults>;
   readonly setFaults: (change: Partial<KeyValueFaults>) => void;
-  /** Calls so far by kind; a watch counts when it is created. */
+  /** Returns the number of calls by kind. A watch is counted when it is created. */
   readonly counts: () => Readonly<Record<KeyValueCallKind, number>>;
   readonly waitingWatches: () => number;
-  /** Lets leases lapse that are due; done by itself every 100 ms. */
+  /** Expires the leases that are due. Also runs automatically every 100 ms. */
   readonly expireLeases: () => void;
   readonly store: Store;
   readonly stop: () => Promise<void>;
 }
 
-/** Starts the stand-in. */
+/** Starts a key-value stand-in. */
 export async function startKeyValue(options: KeyValueOptions = {}): Promise<KeyValueStandIn> {
   const nowMs = options.nowMs ?? (() => performance.now());
   const store = storage.createStore();
@@ -63,7 +63,7 @@
     if (faults.down) watches.breakAll();
   };
   const expireLeases = (): void => {
-    watches.tell(storage.expireLeases(store, nowMs()));
+    watches.notify(storage.expireLeases(store, nowMs()));
   };
   const server = await startHttpServer({
     host: options.host ?? '127.0.0.1',
@@ -71,11 +71,11 @@
     route: (method, path) => {
       if (method === 'GET' && path === '/counts') return sendCounts;
       if (method !== 'POST') return null;
-      if (path === '/faults') return takeFaults;
+      if (path === '/faults') return updateFaults;
       return routes.get(path) ?? null;
     },
   });
-  const takeFaults: Route = ({ body, response }) => {
+  const updateFaults: Route = ({ body, response }) => {
     setFaults(body as Partial<KeyValueFaults>);
     sendJson(response, 200, faults);
   };
@@ -112,7 +112,7 @@
   readonly faults: KeyValueFaults;
 }
 
-/** What a call did: its answer, and the changes that watches are told. */
+/** Result of a call: its answer and the changes to send to watches. */
 interface Outcome {
   readonly status?: number;
   readonly body: JsonBody;
@@ -121,7 +121,10 @@
 
 function createRoutes(parts: Parts): Map<string, Route> {
   const { store, nowMs } = parts;
-  const leaseGone = { status: NOT_FOUND, body: { code: 5, message: 'requested lease not found' } };
+  const leaseNotFound = {
+    status: NOT_FOUND,
+    body: { code: 5, message: 'requested lease not found' },
+  };
   return new Map<string, Route>([
     [
       '/v3/kv/range',
@@ -129,7 +132,11 @@
     ],
     [
       '/v3/kv/txn',
-      unary(parts, KeyValueCallKind.Transaction, (body) => transaction(store, body) ?? leaseGone),
+      unary(
+        parts,
+        KeyValueCallKind.Transaction,
+        (body) => transaction(store, body) ?? leaseNotFound,
+      ),
     ],
     [
       '/v3/lease/grant',
@@ -151,7 +158,7 @@
       '/v3/lease/revoke',
       unary(parts, KeyValueCallKind.LeaseRevoke, (body) => {
         const changes = storage.revokeLease(store, String(wire.numberField(body.ID)));
-        return changes === null ? leaseGone : { body: { header: wire.header(store) }, changes };
+        return changes === null ? leaseNotFound : { body: { header: wire.header(store) }, changes };
       }),
     ],
     ['/v3/watch', watch(parts)],
@@ -167,9 +174,9 @@
       return;
     }
     const outcome = run(body);
-    parts.watches.tell(outcome.changes ?? []);
+    parts.watches.notify(outcome.changes ?? []);
     const isWrite = kind !== KeyValueCallKind.Range;
-    if (isWrite && takeOne(parts.faults, 'loseAnswers')) response.destroy();
+    if (isWrite && consumeFault(parts.faults, 'loseAnswers')) response.destroy();
     else sendJson(response, outcome.status ?? 200, outcome.body);
   };
 }
@@ -201,13 +208,13 @@
   };
 }
 
-/** Null when a write names a lease that does not exist. */
+/** Runs a transaction. Returns null if a write refers to a lease that does not exist. */
 function transaction(store: Store, body: JsonBody): Outcome | null {
-  const held = wire.listField(body.compare).every((compare) => {
+  const comparesHold = wire.listField(body.compare).every((compare) => {
     const entry = store.entries.get(wire.decodeField(compare.key));
     return (entry?.modRevision ?? 0) === wire.numberField(compare.mod_revision);
   });
-  const operations = wire.listField(held ? body.success : body.failure);
+  const operations = wire.listField(comparesHold ? body.success : body.failure);
   const changes = storage.applyWrites(store, wire.readWrites(operations));
   if (changes === null) return null;
   const responses = operations.map((operation) =>
@@ -216,7 +223,7 @@
       : { response_range: range(store, wire.objectField(operation.request_range)) },
   );
   return {
-    body: { header: wire.header(store), responses, ...(held ? { succeeded: true } : {}) },
+    body: { header: wire.header(store), responses, ...(comparesHold ? { succeeded: true } : {}) },
     changes,
   };
 }
--- a/packages/stand-ins/src/core/key-value/store.ts
+++ b/packages/stand-ins/src/core/key-value/store.ts
@@ -1,9 +1,9 @@
 /**
- * The stored state of the key-value stand-in: entries under one growing revision, leases, and a
- * bounded history for watches that begin in the past. Pure but for its own state; time is passed in.
+ * State of the key-value stand-in: entries under one increasing revision, leases, and a bounded watch
+ * history. Performs no I/O; the current time is a parameter.
  */
 
-/** Changes kept for watches that begin in the past; an older beginning is compacted. */
+/** Changes kept for watches that start at a past revision. Older ones are compacted. */
 const MAX_HISTORY = 10_000;
 
 /** One stored entry. */
@@ -17,7 +17,7 @@
   readonly lease: string;
 }
 
-/** One change, in the order of revisions. */
+/** A change of one key at a revision. */
 export interface StoredChange {
   readonly key: string;
   readonly revision: number;
@@ -32,12 +32,12 @@
   readonly keys: Set<string>;
 }
 
-/** What a transaction may do. */
+/** A write operation of a transaction. */
 export type StoreWrite =
   | { readonly put: { readonly key: string; readonly value: string; readonly lease: string } }
   | { readonly remove: { readonly key: string } };
 
-/** The whole state. */
+/** State of the service. */
 export interface Store {
   revision: number;
   readonly entries: Map<string, StoredEntry>;
@@ -46,7 +46,7 @@
   nextLeaseId: number;
 }
 
-/** An empty store; the first write gets revision 2, as in etcd. */
+/** Creates an empty store. The first write gets revision 2, as in etcd. */
 export function createStore(): Store {
   return {
     revision: 1,
@@ -57,7 +57,7 @@
   };
 }
 
-/** Entries from `key` up to but without `end`; null means the one key. */
+/** Returns the entries from `key` to `end` (exclusive), or the entry of `key` if `end` is null. */
 export function readRange(store: Store, key: string, end: string | null, limit: number) {
   if (end === null) {
     const entry = store.entries.get(key);
@@ -68,7 +68,7 @@
   return limit > 0 ? found.slice(0, limit) : found;
 }
 
-/** Applies writes under one new revision and gives the changes. An unknown lease gives null. */
+/** Applies writes under one new revision and returns the changes, or null for an unknown lease. */
 export function applyWrites(
   store: Store,
   writes: readonly StoreWrite[],
@@ -116,7 +116,7 @@
   return [{ key, revision, entry: null }];
 }
 
-/** Grants a lease of whole seconds. */
+/** Grants a lease of `ttlS` seconds. */
 export function grantLease(store: Store, ttlS: number, nowMs: number): Lease {
   const id = String(store.nextLeaseId++);
   const lease = { id, ttlS, expiresAtMs: nowMs + ttlS * 1_000, keys: new Set<string>() };
@@ -124,7 +124,7 @@
   return lease;
 }
 
-/** Prolongs a lease; null when it has lapsed. */
+/** Extends a lease. Returns null if it has expired. */
 export function keepLeaseAlive(store: Store, id: string, nowMs: number): Lease | null {
   const lease = store.leases.get(id);
   if (lease === undefined || lease.expiresAtMs <= nowMs) return null;
@@ -132,7 +132,7 @@
   return lease;
 }
 
-/** Ends a lease and removes its keys; null when there is no such lease. */
+/** Revokes a lease and removes its keys. Returns null if there is no such lease. */
 export function revokeLease(store: Store, id: string): readonly StoredChange[] | null {
   const lease = store.leases.get(id);
   if (lease === undefined) return null;
@@ -142,13 +142,13 @@
   return changes;
 }
 
-/** Ends the leases that have lapsed. */
+/** Revokes the expired leases and returns the changes. */
 export function expireLeases(store: Store, nowMs: number): readonly StoredChange[] {
-  const lapsed = [...store.leases.values()].filter((lease) => lease.expiresAtMs <= nowMs);
-  return lapsed.flatMap((lease) => revokeLease(store, lease.id) ?? []);
+  const expired = [...store.leases.values()].filter((lease) => lease.expiresAtMs <= nowMs);
+  return expired.flatMap((lease) => revokeLease(store, lease.id) ?? []);
 }
 
-/** Changes of the watched keys since a revision, as far as the history reaches. */
+/** Returns the changes of the watched keys since a revision that are still in the watch history. */
 export function changesSince(
   store: Store,
   revision: number,
--- a/packages/stand-ins/src/core/key-value/watches.ts
+++ b/packages/stand-ins/src/core/key-value/watches.ts
@@ -1,14 +1,14 @@
 /**
- * Running watches of the key-value stand-in, and the ways in which they misbehave.
+ * Running watches of the key-value stand-in, and their injected faults.
  */
 import type { ServerResponse } from 'node:http';
 import type { KeyValueFaults } from './faults.js';
-import { takeOne } from './faults.js';
+import { consumeFault } from './faults.js';
 import type { Store, StoredChange } from './store.js';
 import { changesSince } from './store.js';
 import { eventBody, header } from './wire.js';
 
-/** Bytes that may wait for one watcher; one that reads too slowly is cut off. */
+/** Maximum number of buffered bytes per watch. A watch whose client reads too slowly is closed. */
 const MAX_WAITING_BYTES = 16 * 1024 * 1024;
 
 interface Watch {
@@ -23,22 +23,22 @@
     watched: (key: string) => boolean,
     startRevision: number,
   ) => void;
-  readonly tell: (changes: readonly StoredChange[]) => void;
+  readonly notify: (changes: readonly StoredChange[]) => void;
   readonly breakAll: () => void;
   readonly count: () => number;
 }
 
-/** Makes an empty set of watches on a store. */
+/** Creates an empty set of watches on a store. */
 export function createWatches(store: Store, faults: KeyValueFaults): Watches {
   const running = new Set<Watch>();
 
   const send = (watch: Watch, changes: readonly StoredChange[]): void => {
-    const mine = changes.filter((change) => watch.watched(change.key));
-    if (mine.length === 0) return;
+    const relevant = changes.filter((change) => watch.watched(change.key));
+    if (relevant.length === 0) return;
     write(watch.response, {
       header: header(store),
       watch_id: '0',
-      events: mine.map(eventBody),
+      events: relevant.map(eventBody),
     });
     if (watch.response.writableLength > MAX_WAITING_BYTES) watch.response.destroy();
   };
@@ -52,13 +52,13 @@
       write(response, { header: header(store), watch_id: '0', created: true });
       if (startRevision > 0) send(watch, changesSince(store, startRevision, watched));
     },
-    tell: (changes) => {
+    notify: (changes) => {
       if (changes.length === 0) return;
-      if (takeOne(faults, 'dropWatchEvents')) return;
-      const told = [...changes];
-      if (takeOne(faults, 'repeatWatchEvents')) told.push(...changes);
-      if (takeOne(faults, 'staleWatchEvents')) told.push(...oldest(store, changes));
-      for (const watch of running) send(watch, told);
+      if (consumeFault(faults, 'dropWatchEvents')) return;
+      const delivered = [...changes];
+      if (consumeFault(faults, 'repeatWatchEvents')) delivered.push(...changes);
+      if (consumeFault(faults, 'staleWatchEvents')) delivered.push(...oldest(store, changes));
+      for (const watch of running) send(watch, delivered);
     },
     breakAll: () => {
       for (const watch of running) watch.response.destroy();
--- a/packages/stand-ins/src/core/key-value/wire.ts
+++ b/packages/stand-ins/src/core/key-value/wire.ts
@@ -1,36 +1,37 @@
 /**
- * The JSON gateway's form on the service's side: base64 and numbers as text in, and out again.
+ * Decodes and encodes the wire format of the JSON gateway, which carries keys and values as base64 and
+ * 64-bit numbers as text.
  */
 import type { JsonBody } from '../http/http-server.js';
 import type { Store, StoredChange, StoredEntry, StoreWrite } from './store.js';
 
-/** Base64 of a body field to text. */
+/** Decodes a base64 body field to text. */
 export function decodeField(value: unknown): string {
   return typeof value === 'string' ? Buffer.from(value, 'base64').toString('utf8') : '';
 }
 
-/** A 64-bit number, written as text or as a number. */
+/** Returns a 64-bit number given as text or as a number, or 0 if it is invalid. */
 export function numberField(value: unknown): number {
   const number = typeof value === 'string' || typeof value === 'number' ? Number(value) : 0;
   return Number.isFinite(number) ? number : 0;
 }
 
-/** A member of a body as an object. */
+/** Returns a body field as an object, or an empty object. */
 export function objectField(value: unknown): JsonBody {
   return typeof value === 'object' && value !== null ? (value as JsonBody) : {};
 }
 
-/** A member of a body as a list of objects. */
+/** Returns a body field as a list of objects, or an empty list. */
 export function listField(value: unknown): JsonBody[] {
   return Array.isArray(value) ? value.map(objectField) : [];
 }
 
-/** The header that every answer carries. */
+/** Returns the header of every answer. */
 export function header(store: Store): JsonBody {
   return { cluster_id: '1', member_id: '1', revision: String(store.revision), raft_term: '1' };
 }
 
-/** One entry as the gateway writes it. */
+/** Encodes an entry. */
 export function entryBody(entry: StoredEntry): JsonBody {
   const body: JsonBody = {
     key: encode(entry.key),
@@ -42,18 +43,18 @@
   return entry.lease === '0' ? body : { ...body, lease: entry.lease };
 }
 
-/** One change as an event of a watch; the default type, PUT, is left out. */
+/** Encodes a change as a watch event. The default type, PUT, is omitted. */
 export function eventBody(change: StoredChange): JsonBody {
   if (change.entry !== null) return { kv: entryBody(change.entry) };
   return { type: 'DELETE', kv: { key: encode(change.key), mod_revision: String(change.revision) } };
 }
 
-/** The end of a range request: null for a single key. */
+/** Decodes the end of a range request. Returns null for a single key. */
 export function rangeEndField(value: unknown): string | null {
   return typeof value === 'string' && value !== '' ? decodeField(value) : null;
 }
 
-/** The writes among a transaction's operations. */
+/** Returns the writes among a transaction's operations. */
 export function readWrites(operations: readonly JsonBody[]): readonly StoreWrite[] {
   return operations.flatMap((operation): StoreWrite[] => {
     if (operation.request_put !== undefined) {
--- a/packages/stand-ins/src/core/plain-service/plain-service.ts
+++ b/packages/stand-ins/src/core/plain-service/plain-service.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in of a plain service: counts the runs of each request id, so that "ran at most once" can
- * be checked from outside, and can be slow or die before, during or after a run.
+ * Emulates a plain service. It counts the runs of each request id, so tests can check that a request
+ * ran at most once. It can be slow, and can fail before, during or after a run.
  */
 import type { IncomingHttpHeaders, IncomingMessage } from 'node:http';
 import type { Exchange, Route } from '../http/http-server.js';
@@ -9,7 +9,7 @@
 import { countRun } from '../runs/run-counts.js';
 import { delay } from '../time/delay.js';
 
-/** Where in a run the service dies. */
+/** Points of a run at which the service can fail. */
 export enum DeathPoint {
   Before = 'before',
   During = 'during',
@@ -18,9 +18,9 @@
 
 /** Faults of the service; also set by `POST /faults`. */
 export interface PlainServiceFaults {
-  /** Each run takes this long. */
+  /** Duration of each run. */
   slowMs: number;
-  /** Where the next run dies, with its connection; null for none. */
+  /** Point at which the next run fails and closes its connection; null for no failure. */
   dieNext: DeathPoint | null;
 }
 
@@ -28,7 +28,7 @@
 export interface PlainServiceOptions {
   readonly host?: string;
   readonly port?: number;
-  /** Named in each answer. */
+  /** Service name in each answer. */
   readonly name?: string;
   readonly runMs?: number;
 }
@@ -38,19 +38,19 @@
   readonly address: string;
   readonly port: number;
   readonly setFaults: (change: Partial<PlainServiceFaults>) => void;
-  /** Runs begun, by call id or else request id. */
+  /** Returns the number of started runs by call id, or by request id if there is none. */
   readonly runs: () => ReadonlyMap<string, number>;
-  /** Headers of the latest call, as they arrived; empty before one came. */
+  /** Returns the headers of the latest call, or an empty object before the first one. */
   readonly lastHeaders: () => IncomingHttpHeaders;
   readonly stop: () => Promise<void>;
 }
 
 const REQUEST_ID_HEADER = 'x-request-id';
 
-/** Header by which a caller, not the sidecar, names a call; counts then go by it. */
+/** Header with a call id chosen by the caller instead of the sidecar. Runs are counted by it if present. */
 export const CALL_ID_HEADER = 'x-call-id';
 
-/** Starts the stand-in. It answers any path with what it got and what it did. */
+/** Starts a plain service stand-in. It answers any path with an echo of the request and its run count. */
 export async function startPlainService(
   options: PlainServiceOptions = {},
 ): Promise<PlainServiceStandIn> {
--- a/packages/stand-ins/src/core/runs/run-counts.ts
+++ b/packages/stand-ins/src/core/runs/run-counts.ts
@@ -1,27 +1,27 @@
 /**
- * How often each prompt was run, for oracles: a refusal that says "not run" of a prompt that is
- * counted here is false. Outlives crashes of the engine.
+ * Counts the runs of each prompt or request for test oracles. A rejection that claims "not run" is
+ * false if the prompt is counted here. The counts survive crashes of the engine.
  */
 import { createHashing } from '@cassiamast/coordination';
 
 const { hash64 } = await createHashing();
 
-/** Prompts that are remembered; the oldest is forgotten first. */
-const MAX_REMEMBERED = 100_000;
+/** Maximum number of counted names; the oldest is removed first. */
+const MAX_COUNTED = 100_000;
 
-/** Runs by {@link promptFingerprint}. */
+/** Number of runs by name, such as a {@link promptFingerprint} or a request id. */
 export type RunCounts = Map<string, number>;
 
-/** The name under which a prompt's runs are counted. */
+/** Returns the name under which runs of a prompt are counted. */
 export function promptFingerprint(prompt: string): string {
   return hash64(prompt).toString(16);
 }
 
-/** Counts a run under a name. */
+/** Counts a run under a name and returns the new count. */
 export function countRun(runs: RunCounts, name: string): number {
   const count = (runs.get(name) ?? 0) + 1;
   runs.set(name, count);
-  if (runs.size > MAX_REMEMBERED) {
+  if (runs.size > MAX_COUNTED) {
     const oldest = runs.keys().next();
     if (oldest.done !== true) runs.delete(oldest.value);
   }
--- a/packages/stand-ins/src/core/time/delay.ts
+++ b/packages/stand-ins/src/core/time/delay.ts
@@ -1,9 +1,9 @@
 /**
- * Waiting without keeping the process alive: a stand-in that was stopped while something in it was
- * slow must not hold up the end of its process.
+ * Delays that do not keep the process alive, so a pending slow response of a stopped stand-in does not
+ * delay the exit of its process.
  */
 
-/** Resolves after so many milliseconds. */
+/** Resolves after `ms` milliseconds, unless the process exits first. */
 export function delay(ms: number): Promise<void> {
   return new Promise((resolve) => {
     setTimeout(resolve, ms).unref();
--- a/packages/stand-ins/src/core/vm-list/vm-list.ts
+++ b/packages/stand-ins/src/core/vm-list/vm-list.ts
@@ -1,5 +1,5 @@
 /**
- * A stand-in of the platform's list of VMs, which tells of each change only after a lag.
+ * Emulates the platform's list of VMs, which shows each change only after a lag.
  */
 import { VmState } from '@cassiamast/ports';
 import type { VmListing } from '@cassiamast/ports';
@@ -11,27 +11,27 @@
   readonly host?: string;
   readonly port?: number;
   readonly vms?: readonly VmListing[];
-  /** How long a change stays unseen. */
+  /** Delay before a change becomes visible. */
   readonly lagMs?: number;
   readonly nowMs?: () => number;
 }
 
-/** A running list. */
+/** A running VM list. */
 export interface VmListStandIn {
   readonly address: string;
   readonly port: number;
-  /** Changes the truth; the list follows after its lag. */
+  /** Sets the actual VMs. The list shows them after its lag. */
   readonly setVms: (vms: readonly VmListing[]) => void;
   readonly stop: () => Promise<void>;
 }
 
 const DEFAULT_LAG_MS = 2_000;
 
-/** Starts the stand-in. `POST /vms` changes the truth from outside. */
+/** Starts a VM list stand-in. `POST /vms` sets the actual VMs from another process. */
 export async function startVmList(options: VmListOptions = {}): Promise<VmListStandIn> {
   const nowMs = options.nowMs ?? (() => performance.now());
   const lagMs = options.lagMs ?? DEFAULT_LAG_MS;
-  let told: readonly VmListing[] = options.vms ?? [];
+  let visibleVms: readonly VmListing[] = options.vms ?? [];
   let changes: { readonly atMs: number; readonly vms: readonly VmListing[] }[] = [];
 
   const setVms = (vms: readonly VmListing[]): void => {
@@ -40,8 +40,8 @@
   const current = (): readonly VmListing[] => {
     const due = changes.filter((change) => change.atMs + lagMs <= nowMs());
     changes = changes.slice(due.length);
-    told = due.at(-1)?.vms ?? told;
-    return told;
+    visibleVms = due.at(-1)?.vms ?? visibleVms;
+    return visibleVms;
   };
   const list: Route = ({ response }) => {
     sendJson(response, 200, { vms: current().map(listingBody) });
--- a/packages/stand-ins/src/main.ts
+++ b/packages/stand-ins/src/main.ts
@@ -1,8 +1,8 @@
 /**
- * Runs stand-ins as a process: `main.js <kind> [--settings FILE.yaml] [--port N] [--host H]`. The
+ * Runs stand-ins in a process: `main.js <kind> [--settings FILE.yaml] [--port N] [--host H]`. The
  * settings file holds the options of the kind's start function; for the kind `several` it holds a
- * list `standIns`, each with its `kind` and options. A line of JSON on standard output tells the
- * address of each.
+ * list `standIns`, each with its `kind` and options. Prints the address
+ * of each stand-in as a line of JSON.
  */
 import { readFileSync } from 'node:fs';
 import { parseArgs } from 'node:util';
@@ -26,7 +26,7 @@
   ['vm-list', startVmList],
 ]);
 
-/** Starts many stand-ins in one process, to keep a laptop's fleet small. */
+/** Kind that starts several stand-ins in one process, to save processes on a developer machine. */
 const SEVERAL = 'several';
 
 const USAGE_EXIT_CODE = 2;
@@ -45,7 +45,7 @@
   readonly options: Record<string, unknown>;
 }
 
-const running = await Promise.all(wanted().map(startOne));
+const running = await Promise.all(requestedStandIns().map(startOne));
 
 for (const signal of ['SIGINT', 'SIGTERM'] as const) {
   process.once(signal, () => {
@@ -61,13 +61,13 @@
   return standIn;
 }
 
-function wanted(): readonly StandInSettings[] {
+function requestedStandIns(): readonly StandInSettings[] {
   const kind = positionals[0] ?? '';
   const settings = readSettings(values.settings);
   if (kind !== SEVERAL) return [{ kind, options: { ...settings, ...readFlags() } }];
   if (!Array.isArray(settings.standIns)) failUsage();
-  return (settings.standIns as Record<string, unknown>[]).map((one) => {
-    const { kind: name, ...options } = one;
+  return (settings.standIns as Record<string, unknown>[]).map((standInSettings) => {
+    const { kind: name, ...options } = standInSettings;
     return { kind: String(name), options };
   });
 }
