--- a/packages/stand-ins/test/core/key-value/key-value.test.ts
+++ b/packages/stand-ins/test/core/key-value/key-value.test.ts
@@ -1,4 +1,4 @@
-/** The key-value stand-in, called through the product's own adapter. */
+/** Tests the key-value stand-in through the product's own client. */
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, describe, it } from 'node:test';
 import type { KeyValueChange, KeyValueClient } from '@cassiamast/ports';
@@ -33,7 +33,7 @@
     client.transact([{ key, modRevision }], [{ key, value, leaseId }]);
 
   describe('compare-and-swap', () => {
-    it('creates once, and tells the loser what is there', async () => {
+    it('creates once, and returns the stored entry to the loser', async () => {
       const first = (await put('claims/a', 'entry-1'))._unsafeUnwrap();
       const second = (await put('claims/a', 'entry-2'))._unsafeUnwrap();
       assert.equal(first.succeeded, true);
@@ -51,7 +51,7 @@
       assert.equal((await client.get('lease'))._unsafeUnwrap()?.createRevision, again);
     });
 
-    it('carries any text unharmed', async () => {
+    it('stores any text unchanged', async () => {
       const value = 'Хан-Уул тэжээл\n"66/11 kV" \u{1F50C}';
       await put('тэжээл/1', value);
       assert.equal((await client.get('тэжээл/1'))._unsafeUnwrap()?.value, value);
@@ -59,7 +59,7 @@
   });
 
   describe('list', () => {
-    it('gives the keys of a prefix in order, up to a limit', async () => {
+    it('returns the keys of a prefix in order, up to a limit', async () => {
       for (const key of ['p/2', 'p/1', 'p/3', 'q/1']) await put(key, key);
       const keys = (await client.list('p/', 2))._unsafeUnwrap().map((entry) => entry.key);
       assert.deepEqual(keys, ['p/1', 'p/2']);
@@ -67,9 +67,9 @@
   });
 
   describe('a lease', () => {
-    it('takes its keys with it when it lapses, and cannot be kept alive after that', async () => {
-      // A planner is paused for longer than its lease. When it wakes up its key is gone, another
-      // may hold it, and the attempt to go on holding it fails by name.
+    it('removes its keys when it expires, and cannot be kept alive after that', async () => {
+      // A planner is paused for longer than its lease. When it resumes, its key is removed and may have
+      // another holder, so extending the lease fails with a named failure.
       const lease = (await client.grantLease(1_500))._unsafeUnwrap();
       assert.equal(lease.ttlMs, 2_000);
       await put('planner', 'me', ABSENT, lease.leaseId);
@@ -103,7 +103,7 @@
       return { seen, ends, stop };
     };
 
-    it('tells of changes from a revision in the past on, and of removals', async () => {
+    it('reports changes since a past revision, and removals', async () => {
       const first = (await put('w', 'one'))._unsafeUnwrap().revision;
       const watch = collect(first);
       await until(() => watch.seen.length === 1);
@@ -114,7 +114,7 @@
       assert.deepEqual(watch.seen, ['one', 'two', null]);
     });
 
-    it('misses, repeats and gives old changes where such faults are set', async () => {
+    it('drops and repeats changes and sends old ones when these faults are set', async () => {
       const watch = collect(0);
       await until(() => service.waitingWatches() === 1);
       service.setFaults({ dropWatchEvents: 1 });
@@ -126,7 +126,7 @@
       assert.deepEqual(watch.seen, ['told', 'told', 'lost']);
     });
 
-    it('ends by name when the service goes away', async () => {
+    it('ends with a named failure when the service stops', async () => {
       const watch = collect(0);
       await until(() => service.waitingWatches() === 1);
       service.setFaults({ down: true });
@@ -154,9 +154,9 @@
       assert.equal(failed.error.data.mayHaveRun, false);
     });
 
-    it('a lost answer leaves the write in force', async () => {
-      // An operator applies an edit; the service stores it, but its answer is lost. Who believes
-      // the failure and writes again would make a second version: reading back shows the first.
+    it('a lost answer leaves the write applied', async () => {
+      // An operator applies an edit; the service stores it, but its answer is lost. A caller that
+      // writes again after the failure would create a second version; a read shows the first.
       service.setFaults({ loseAnswers: 1 });
       const failed = await put('k', 'v');
       assert.ok(failed.isErr() && KEY_VALUE_ANSWER_LOST.is(failed.error));
@@ -166,7 +166,7 @@
   });
 
   describe('counts', () => {
-    it('each call by its kind, and a waiting watch as one', async () => {
+    it('includes each call by kind, and each open watch once', async () => {
       await put('k', 'v');
       await client.get('k');
       await client.get('k');
--- a/packages/stand-ins/test/core/plain-service/plain-service.test.ts
+++ b/packages/stand-ins/test/core/plain-service/plain-service.test.ts
@@ -1,4 +1,4 @@
-/** The plain service stand-in, called through the product's own adapter. */
+/** Tests the plain service stand-in through the product's own client. */
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, describe, it } from 'node:test';
 import type { PlainRequest, PlainServiceClient } from '@cassiamast/ports';
@@ -36,7 +36,7 @@
   });
 
   describe('an exchange', () => {
-    it('brings request and answer over unharmed', async () => {
+    it('transfers request and answer unchanged', async () => {
       const answer = (await client.call(call()))._unsafeUnwrap();
       assert.equal(answer.status, 200);
       const body = JSON.parse(Buffer.from(answer.bodyBase64, 'base64').toString('utf8')) as unknown;
@@ -58,16 +58,16 @@
     });
   });
 
-  describe('a death', () => {
-    // The service dies before, during or after the run of a call that may not be repeated. The
-    // caller sees the same broken connection each time; only the run count tells them apart, so
-    // the failure must say "may have run" in all three.
+  describe('a failure', () => {
+    // The service fails before, during or after the run of a call that must not be repeated. The
+    // caller sees the same closed connection each time and cannot tell the cases apart, so the
+    // failure must say "may have run" in all three. Only the run count distinguishes them.
     for (const [point, runs] of [
       [DeathPoint.Before, 0],
       [DeathPoint.During, 1],
       [DeathPoint.After, 1],
     ] as const) {
-      it(`${point} the run may have run`, async () => {
+      it(`${point} the run is reported as may have run`, async () => {
         service.setFaults({ dieNext: point });
         const failed = await client.call(call());
         assert.ok(failed.isErr() && PLAIN_SERVICE_ANSWER_LOST.is(failed.error));
@@ -76,7 +76,7 @@
       });
     }
 
-    it('of the whole service is told as not run', async () => {
+    it('of the whole service is reported as not run', async () => {
       await service.stop();
       const failed = await client.call(call());
       assert.ok(failed.isErr() && PLAIN_SERVICE_UNREACHABLE.is(failed.error));
@@ -89,7 +89,7 @@
       service.setFaults({ slowMs: 60_000 });
       const failed = await client.call(call({ timeoutMs: 30 }));
       assert.ok(failed.isErr() && PLAIN_SERVICE_ANSWER_LOST.is(failed.error));
-      // The call's bytes may be sent and not yet read when its time is over.
+      // The request may be sent but not yet read by the service when the time limit expires.
       await until(() => service.runs().has('r1'));
       assert.equal(service.runs().get('r1'), 1);
     });
--- a/packages/stand-ins/test/core/vm-list/vm-list.test.ts
+++ b/packages/stand-ins/test/core/vm-list/vm-list.test.ts
@@ -1,4 +1,4 @@
-/** The list of VMs follows the truth only after its lag. */
+/** Tests that the list of VMs shows changes only after its lag. */
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, describe, it } from 'node:test';
 import type { VmListClient, VmListing } from '@cassiamast/ports';
@@ -23,7 +23,7 @@
     await list.stop();
   });
 
-  it('tells a change after the lag', async () => {
+  it('shows a change after the lag', async () => {
     list.setVms([LEAVING]);
     nowMs = 1_999;
     assert.deepEqual((await client.list())._unsafeUnwrap(), [LIVE]);
@@ -31,7 +31,7 @@
     assert.deepEqual((await client.list())._unsafeUnwrap(), [LEAVING]);
   });
 
-  it('that is gone is a named failure', async () => {
+  it('that is unreachable is a named failure', async () => {
     await list.stop();
     const failed = await client.list();
     assert.ok(failed.isErr() && VM_LIST_UNAVAILABLE.is(failed.error));
