--- a/packages/cli/src/commands/apply.ts
+++ b/packages/cli/src/commands/apply.ts
@@ -15,7 +15,7 @@
 import { conflictDifferences, conflictLines } from '../core/configuration/conflict.js';
 import { readCurrent, readVersionIfKept } from '../core/configuration/read.js';
 import { readVersionLine } from '../core/configuration/version-line.js';
-import { waitForPropagation } from '../core/fleet/spread.js';
+import { waitForPropagation } from '../core/fleet/propagation.js';
 import {
   ENTRY_FLAGS,
   KEY_VALUE_FLAGS,
--- a/packages/cli/src/commands/watch.ts
+++ b/packages/cli/src/commands/watch.ts
@@ -2,7 +2,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { Flags } from '@oclif/core';
 import { watchLines } from '../core/fleet/render.js';
-import { watchFleet, type Refresh } from '../core/fleet/watching.js';
+import { watchFleet, type Refresh } from '../core/fleet/watch-fleet.js';
 import { ENTRY_FLAGS, unwrapOrThrow, OperatorCommand } from '../core/process/command.js';
 
 const MS_PER_S = 1_000;
--- a/packages/cli/test/core/fleet/fleet-view.test.ts
+++ b/packages/cli/test/core/fleet/fleet-view.test.ts
@@ -3,7 +3,7 @@
 import { describe, it } from 'node:test';
 import { MemberKind } from '@cassiamast/coordination';
 import { fleetView, ratesBetween } from '../../../src/core/fleet/fleet-view.js';
-import { watchFleet, type Refresh } from '../../../src/core/fleet/watching.js';
+import { watchFleet, type Refresh } from '../../../src/core/fleet/watch-fleet.js';
 import { UNKNOWN_MEMBER_ANSWER } from '../../../src/core/process/failures.js';
 import { err, ok } from 'neverthrow';
 import { processStatus, serviceStatus } from '../../fixtures/fleet.js';
--- a/packages/cli/test/core/fleet/gather.test.ts
+++ b/packages/cli/test/core/fleet/gather.test.ts
@@ -4,7 +4,7 @@
 import { ok } from 'neverthrow';
 import { gather } from '../../../src/core/fleet/gather.js';
 import { ReadMethod, type CallMember } from '../../../src/core/fleet/member-client.js';
-import { waitForPropagation } from '../../../src/core/fleet/spread.js';
+import { waitForPropagation } from '../../../src/core/fleet/propagation.js';
 import { memberStatus, processStatus } from '../../fixtures/fleet.js';
 
 const IDS = Array.from({ length: 100 }, (_, index) => `10.0.0.${String(index)}:7000`);
--- a/packages/config-text/src/core/compile/compile.ts
+++ b/packages/config-text/src/core/compile/compile.ts
@@ -12,8 +12,8 @@
 import { err, ok, type Result } from 'neverthrow';
 import type { TextFault, UnlocatedFault } from '../faults/fault.js';
 import { DOCUMENT_TOO_LARGE, MORE_FAULTS } from '../faults/failures.js';
-import { locateFault, type IndexedDocument } from '../faults/place.js';
-import { structureFaults } from '../faults/structure.js';
+import { locateFault, type IndexedDocument } from '../faults/locate.js';
+import { structureFaults } from '../faults/schema-issues.js';
 import { nameFaults } from '../names/names.js';
 import { defaultFloor, serviceFaults } from '../names/service-rules.js';
 import {
--- a/packages/config-text/src/core/compile/parse.ts
+++ b/packages/config-text/src/core/compile/parse.ts
@@ -14,7 +14,7 @@
   TEXT_TOO_LARGE,
   TOO_MANY_TOKENS,
 } from '../faults/failures.js';
-import { positionAt, type IndexedDocument } from '../faults/place.js';
+import { positionAt, type IndexedDocument } from '../faults/locate.js';
 import { quoted } from '../quantities/quantity.js';
 import { MAX_NESTING_DEPTH, MAX_TEXT_BYTES, MAX_TOKENS } from './limits.js';
 
--- a/packages/coordination/src/core/authority/index.ts
+++ b/packages/coordination/src/core/authority/index.ts
@@ -3,5 +3,5 @@
 export * from './gate-state.js';
 export * from './lease-holder.js';
 export * from './order-gate.js';
-export * from './order-giver.js';
+export * from './order-machine.js';
 export * from './orders.js';
--- a/packages/coordination/src/core/config/keeper.ts
+++ b/packages/coordination/src/core/config/sync.ts
@@ -12,8 +12,8 @@
   recordHolder,
   applyFetchAnswer,
   versionInForce,
-} from './adopting.js';
-import { updateNewWork, seesEnoughTargets } from './cut-off.js';
+} from './apply-version.js';
+import { updateNewWork, seesEnoughTargets } from './staleness.js';
 import { withoutText } from './document.js';
 import type { ConfigContext, ConfigEffect, FetchAnswer } from './effects.js';
 import { ConfigEffectKind } from './effects.js';
--- a/packages/coordination/src/core/membership/gossiping.ts
+++ b/packages/coordination/src/core/membership/gossiping.ts
@@ -6,7 +6,7 @@
 import { MembershipEffectKind } from './effects.js';
 import type { MembershipMessage } from './messages.js';
 import { MembershipMethod } from './messages.js';
-import { isUpdateQueueEmpty, takeUpdates } from './news-queue.js';
+import { isUpdateQueueEmpty, takeUpdates } from './update-queue.js';
 import { sendLimit } from './probing.js';
 import type { MembershipState } from './state.js';
 import { pickPeer } from './view.js';
--- a/packages/coordination/src/core/membership/membership.ts
+++ b/packages/coordination/src/core/membership/membership.ts
@@ -9,9 +9,9 @@
 import { MembershipEffectKind } from './effects.js';
 import type { Hints, MemberUpdate, MembershipMessage } from './messages.js';
 import { MembershipMethod } from './messages.js';
-import { suspectLostDomains, endDomainSuspicion } from './doubting.js';
+import { suspectLostDomains, endDomainSuspicion } from './domain-suspicion.js';
 import { gossipLeave, pushUpdates } from './gossiping.js';
-import { isUpdateQueueEmpty } from './news-queue.js';
+import { isUpdateQueueEmpty } from './update-queue.js';
 import {
   continueProbe,
   expireRelayedProbes,
--- a/packages/coordination/src/core/membership/probing.ts
+++ b/packages/coordination/src/core/membership/probing.ts
@@ -10,7 +10,7 @@
 import { MembershipEffectKind } from './effects.js';
 import type { MemberUpdate } from './messages.js';
 import { MembershipMethod } from './messages.js';
-import { updateCount, takeUpdates } from './news-queue.js';
+import { updateCount, takeUpdates } from './update-queue.js';
 import type { MembershipState, PendingProbe } from './state.js';
 import {
   Propagation,
--- a/packages/coordination/src/core/membership/view.ts
+++ b/packages/coordination/src/core/membership/view.ts
@@ -11,7 +11,7 @@
 import { MembershipEffectKind } from './effects.js';
 import { membersFull } from './failures.js';
 import type { MemberDetails, MemberUpdate } from './messages.js';
-import { enqueueUpdate } from './news-queue.js';
+import { enqueueUpdate } from './update-queue.js';
 import type { MemberRecord, MembershipState } from './state.js';
 import { detailsOf, parseMemberId } from './state.js';
 
--- a/packages/coordination/src/core/poison/client-types.ts
+++ b/packages/coordination/src/core/poison/poison-client-types.ts
@@ -9,7 +9,7 @@
   TransactionOutcome,
 } from '../claims/key-value.js';
 import type { Random } from '../random/random.js';
-import type { LoneRunEnd, LoneRunOutcome } from '../records/drive-types.js';
+import type { LoneRunEnd, LoneRunOutcome } from '../records/request-types.js';
 import type { Place } from '../records/place.js';
 import type { LoneRunStatus } from '../records/messages.js';
 import type { IsConvicted, LoneRun } from './ledger.js';
--- a/packages/coordination/src/core/poison/client.ts
+++ b/packages/coordination/src/core/poison/poison-client.ts
@@ -6,10 +6,10 @@
  * run is over or will never begin, or that the sidecar is dead.
  */
 import type { RevisionCompare, StoredValue, StoredWrite } from '../claims/key-value.js';
-import { LoneRunEnd, LoneRunOutcome } from '../records/drive-types.js';
+import { LoneRunEnd, LoneRunOutcome } from '../records/request-types.js';
 import type { Place } from '../records/place.js';
 import { LoneRunStatus } from '../records/messages.js';
-import { PoisonEffectKind, PoisonEventKind, PoisonWorkKind } from './client-types.js';
+import { PoisonEffectKind, PoisonEventKind, PoisonWorkKind } from './poison-client-types.js';
 import type {
   MayBeginLoneRun,
   Operation,
@@ -18,7 +18,7 @@
   PoisonEvent,
   PoisonState,
   PoisonWork,
-} from './client-types.js';
+} from './poison-client-types.js';
 import {
   ledgerKeyOf,
   loneRunKeyOf,
--- a/packages/coordination/src/core/poison/suspicions.ts
+++ b/packages/coordination/src/core/poison/suspicions.ts
@@ -4,7 +4,7 @@
  * also during outages of the key-value service. Both sources may be incomplete, duplicated or late,
  * so crashes are stored by attempt id.
  */
-import { Suspicion } from '../records/drive-types.js';
+import { Suspicion } from '../records/request-types.js';
 import type { IsConvicted } from './ledger.js';
 
 /** A suspected content. */
--- a/packages/coordination/src/core/rate-limits/rate-limiter.ts
+++ b/packages/coordination/src/core/rate-limits/rate-limiter.ts
@@ -6,7 +6,7 @@
  */
 import type { Random } from '../random/random.js';
 import { type LimitShares, createLimitShares, usableShare } from './limit-shares.js';
-import { type AnnouncedLimits, limitOf } from './named-limits.js';
+import { type AnnouncedLimits, limitOf } from './announced-limits.js';
 import {
   type RefillRate,
   type TokenBucket,
--- a/packages/coordination/src/core/records/options.ts
+++ b/packages/coordination/src/core/records/options.ts
@@ -2,15 +2,15 @@
  * Default limits, timeouts and decision functions of the request state machines.
  */
 import { DEFAULT_AGGREGATOR_OPTIONS } from '../claims/aggregator.js';
-import type { ClaimClientOptions } from '../claims/client.js';
-import type { PoisonOptions } from '../poison/client-types.js';
-import { allowOneLoneRun } from '../poison/client.js';
+import type { ClaimClientOptions } from '../claims/claim-client.js';
+import type { PoisonOptions } from '../poison/poison-client-types.js';
+import { allowOneLoneRun } from '../poison/poison-client.js';
 import { isConvicted } from '../poison/ledger.js';
 import { DEFAULT_RETRY_OPTIONS, withdrawRetry } from '../retries/retries.js';
-import { mayRunAgain } from './drive-attempts.js';
-import { fitsAnswer, matchesResume } from './drive-delivery.js';
-import { allHoldersDone } from './drive-rounds.js';
-import type { RequestMachineOptions } from './drive-types.js';
+import { mayRunAgain } from './request-attempts.js';
+import { fitsAnswer, matchesResume } from './request-delivery.js';
+import { allHoldersDone } from './request-rounds.js';
+import type { RequestMachineOptions } from './request-types.js';
 import type { HolderOptions } from './holder.js';
 import { acceptsFinish, acceptsNote } from './holder.js';
 import { mayStartBeside } from './host-dispatch.js';
--- a/packages/coordination/src/core/records/drive-agreement.ts
+++ b/packages/coordination/src/core/records/request-agreement.ts
@@ -4,12 +4,12 @@
  */
 
 import { RunState } from '../model/outcome.js';
-import { startNextStep } from './drive-attempts.js';
-import { closeStream, deliverAnswer } from './drive-delivery.js';
-import { settleLoneRun, sendRefusal } from './drive-refusals.js';
-import { beginRound } from './drive-rounds.js';
-import type { Turn } from './drive-support.js';
-import { LoneRunEnd, RequestPhase } from './drive-types.js';
+import { startNextStep } from './request-attempts.js';
+import { closeStream, deliverAnswer } from './request-delivery.js';
+import { settleLoneRun, sendRefusal } from './request-refusals.js';
+import { beginRound } from './request-rounds.js';
+import type { Turn } from './request-support.js';
+import { LoneRunEnd, RequestPhase } from './request-types.js';
 import { RECORDS_UNREACHABLE } from './failures.js';
 import { HolderReplyKind, HolderCallKind } from './messages.js';
 import type { HolderReply } from './messages.js';
--- a/packages/coordination/src/core/records/drive-attempts.ts
+++ b/packages/coordination/src/core/records/request-attempts.ts
@@ -6,7 +6,7 @@
 import { EventKind } from '../events/event.js';
 import { CONVICTING_CRASHES } from '../poison/ledger.js';
 import { backOffMs } from '../retries/retries.js';
-import { closeStream, discardUnsentTokens } from './drive-delivery.js';
+import { closeStream, discardUnsentTokens } from './request-delivery.js';
 import {
   abandonPreparedAttempt,
   convict,
@@ -14,19 +14,19 @@
   settleLoneRun,
   anyAttemptMayHaveRun,
   sendFinalFailure,
-} from './drive-refusals.js';
-import { beginRound } from './drive-rounds.js';
-import { emit, nextId, remainingMs, setTimer } from './drive-support.js';
-import type { Turn } from './drive-support.js';
-import { RequestEffectKind } from './drive-messages.js';
-import { RequestPhase, RequestTimer, LoneRunEnd, Suspicion } from './drive-types.js';
+} from './request-refusals.js';
+import { beginRound } from './request-rounds.js';
+import { emit, nextId, remainingMs, setTimer } from './request-support.js';
+import type { Turn } from './request-support.js';
+import { RequestEffectKind } from './request-events.js';
+import { RequestPhase, RequestTimer, LoneRunEnd, Suspicion } from './request-types.js';
 import type { Place } from './place.js';
-import type { RequestMachine } from './drive-types.js';
+import type { RequestMachine } from './request-types.js';
 import { DEADLINE_PASSED, OUTCOME_UNKNOWN, TRIES_SPENT } from './failures.js';
 import { HolderCallKind } from './messages.js';
 import { currentAttempt } from './record.js';
 import type { Attempt } from './record.js';
-import { isAnswerUsable, reconcileAnswer } from './drive-agreement.js';
+import { isAnswerUsable, reconcileAnswer } from './request-agreement.js';
 
 /** Number of lost targets, without a crash report, after which the request is run alone. */
 const SUSPECT_AFTER_LOSSES = 2;
--- a/packages/coordination/src/core/records/drive-delivery.ts
+++ b/packages/coordination/src/core/records/request-delivery.ts
@@ -5,11 +5,11 @@
  */
 import { EventKind } from '../events/event.js';
 import { RunState } from '../model/outcome.js';
-import { RequestEffectKind } from './drive-messages.js';
-import { RequestPhase, RequestTimer } from './drive-types.js';
-import type { FitsAnswer, MatchesResume, RequestMachine, ResumePoint } from './drive-types.js';
-import { clearTimer, emit, finishRequest } from './drive-support.js';
-import type { Turn } from './drive-support.js';
+import { RequestEffectKind } from './request-events.js';
+import { RequestPhase, RequestTimer } from './request-types.js';
+import type { FitsAnswer, MatchesResume, RequestMachine, ResumePoint } from './request-types.js';
+import { clearTimer, emit, finishRequest } from './request-support.js';
+import type { Turn } from './request-support.js';
 import { ANSWER_DIVERGED } from './failures.js';
 import type { Answer, AnswerEnding } from './record.js';
 import type { Hash32 } from '../hashing/hashing.js';
--- a/packages/coordination/src/core/records/drive-messages.ts
+++ b/packages/coordination/src/core/records/request-events.ts
@@ -4,7 +4,7 @@
 import type { UnstampedEvent } from '../events/event.js';
 import type { Failure } from '../failures/failure.js';
 import type { RunState } from '../model/outcome.js';
-import type { ClaimOutcome, RequestTimer, LoneRunEnd, LoneRunOutcome } from './drive-types.js';
+import type { ClaimOutcome, RequestTimer, LoneRunEnd, LoneRunOutcome } from './request-types.js';
 import type { Place } from './place.js';
 import type {
   CancelOutcome,
--- a/packages/coordination/src/core/records/drive.ts
+++ b/packages/coordination/src/core/records/request-machine.ts
@@ -15,8 +15,8 @@
   noteAttempt,
   openSessionFor,
   onSessionOpened,
-} from './drive-attempts.js';
-import { EMPTY_TEXT_HASH } from './drive-delivery.js';
+} from './request-attempts.js';
+import { EMPTY_TEXT_HASH } from './request-delivery.js';
 import {
   abandonPreparedAttempt,
   convict,
@@ -24,7 +24,7 @@
   runStateOf,
   sendFinalFailure,
   sendRefusal,
-} from './drive-refusals.js';
+} from './request-refusals.js';
 import {
   callMissingMembers,
   beginRound,
@@ -34,21 +34,21 @@
   hasReplyOfKind,
   onHolderUnreachable,
   acceptReply,
-} from './drive-rounds.js';
-import { onSidecarLost, onCancelOutcome, onStreamEvent } from './drive-streams.js';
-import { onTimer } from './drive-timers.js';
-import { emit, finishRequest, setTimer } from './drive-support.js';
-import type { Turn } from './drive-support.js';
-import { RequestEventKind } from './drive-messages.js';
-import type { RequestEffect, RequestEvent } from './drive-messages.js';
-import { ClaimOutcome, RequestPhase, RequestTimer, LoneRunOutcome } from './drive-types.js';
-import type { RequestContext, CallerRequest, RequestMachine } from './drive-types.js';
+} from './request-rounds.js';
+import { onSidecarLost, onCancelOutcome, onStreamEvent } from './request-streams.js';
+import { onTimer } from './request-timers.js';
+import { emit, finishRequest, setTimer } from './request-support.js';
+import type { Turn } from './request-support.js';
+import { RequestEventKind } from './request-events.js';
+import type { RequestEffect, RequestEvent } from './request-events.js';
+import { ClaimOutcome, RequestPhase, RequestTimer, LoneRunOutcome } from './request-types.js';
+import type { RequestContext, CallerRequest, RequestMachine } from './request-types.js';
 import { CLAIM_UNAVAILABLE, KEY_CONFLICT, NOT_ADMITTED, RECORDS_FULL } from './failures.js';
 import { HolderCallKind, HolderReplyKind } from './messages.js';
 import type { HolderReply } from './messages.js';
 import { joinRecords } from './record.js';
 import { depositFirstAttempt } from '../retries/retries.js';
-import { resolveNoteConflict, reconcileAnswer } from './drive-agreement.js';
+import { resolveNoteConflict, reconcileAnswer } from './request-agreement.js';
 
 /**
  * Creates the machine for one connection. `id` must be unique across all entries and their
--- a/packages/coordination/src/core/records/drive-refusals.ts
+++ b/packages/coordination/src/core/records/request-refusals.ts
@@ -6,12 +6,12 @@
 import { EventKind } from '../events/event.js';
 import type { Failure } from '../failures/failure.js';
 import { RunState } from '../model/outcome.js';
-import { closeStream } from './drive-delivery.js';
-import { beginRound, roundFigures } from './drive-rounds.js';
-import { emit, finishRequest } from './drive-support.js';
-import type { Turn } from './drive-support.js';
-import { RequestEffectKind } from './drive-messages.js';
-import { RequestPhase, LoneRunEnd } from './drive-types.js';
+import { closeStream } from './request-delivery.js';
+import { beginRound, roundFigures } from './request-rounds.js';
+import { emit, finishRequest } from './request-support.js';
+import type { Turn } from './request-support.js';
+import { RequestEffectKind } from './request-events.js';
+import { RequestPhase, LoneRunEnd } from './request-types.js';
 import { POISONED_REQUEST } from './failures.js';
 import { HolderCallKind } from './messages.js';
 import { currentAttempt } from './record.js';
--- a/packages/coordination/src/core/records/drive-rounds.ts
+++ b/packages/coordination/src/core/records/request-rounds.ts
@@ -3,10 +3,10 @@
  * of them have replied. Calls are idempotent, so a holder that has not replied can be called again.
  * When the members change, the round continues with the new holders.
  */
-import { RequestEffectKind } from './drive-messages.js';
-import { RequestTimer } from './drive-types.js';
-import { nextId, setTimer } from './drive-support.js';
-import type { Turn } from './drive-support.js';
+import { RequestEffectKind } from './request-events.js';
+import { RequestTimer } from './request-types.js';
+import { nextId, setTimer } from './request-support.js';
+import type { Turn } from './request-support.js';
 import { HolderCallKind, HolderReplyKind } from './messages.js';
 import type { HolderCall, HolderReply } from './messages.js';
 import { joinRecords } from './record.js';
--- a/packages/coordination/src/core/records/drive-streams.ts
+++ b/packages/coordination/src/core/records/request-streams.ts
@@ -2,14 +2,14 @@
  * Handles the events of the stream of an attempt: tokens, the end, and each kind of failure.
  */
 import { EventKind } from '../events/event.js';
-import { attachTo, endAttempt, startNextStep } from './drive-attempts.js';
-import { deliverEnd, appendTokens, refuseDivergedText } from './drive-delivery.js';
-import { isOwnAttempt, refuse, settleLoneRun } from './drive-refusals.js';
-import { emit, setTimer } from './drive-support.js';
-import type { Turn } from './drive-support.js';
-import { RequestEffectKind, RequestEventKind } from './drive-messages.js';
-import { RequestPhase, RequestTimer, LoneRunEnd } from './drive-types.js';
-import type { RequestEvent } from './drive-messages.js';
+import { attachTo, endAttempt, startNextStep } from './request-attempts.js';
+import { deliverEnd, appendTokens, refuseDivergedText } from './request-delivery.js';
+import { isOwnAttempt, refuse, settleLoneRun } from './request-refusals.js';
+import { emit, setTimer } from './request-support.js';
+import type { Turn } from './request-support.js';
+import { RequestEffectKind, RequestEventKind } from './request-events.js';
+import { RequestPhase, RequestTimer, LoneRunEnd } from './request-types.js';
+import type { RequestEvent } from './request-events.js';
 import { DEADLINE_PASSED, KEY_CONFLICT, OUTCOME_UNKNOWN } from './failures.js';
 import { CancelOutcome, StreamFailureReason } from './messages.js';
 import type { StreamEnd, StreamFailure } from './messages.js';
--- a/packages/coordination/src/core/records/drive-support.ts
+++ b/packages/coordination/src/core/records/request-support.ts
@@ -3,10 +3,10 @@
  * the handling of one event.
  */
 import type { EventKind, UnstampedEvent } from '../events/event.js';
-import { RequestEffectKind } from './drive-messages.js';
-import { RequestPhase } from './drive-types.js';
-import type { RequestEffect } from './drive-messages.js';
-import type { RequestContext, RequestTimer, RequestMachine } from './drive-types.js';
+import { RequestEffectKind } from './request-events.js';
+import { RequestPhase } from './request-types.js';
+import type { RequestEffect } from './request-events.js';
+import type { RequestContext, RequestTimer, RequestMachine } from './request-types.js';
 
 /** State, inputs and collected effects while a machine handles one event. */
 export interface Turn {
--- a/packages/coordination/src/core/records/drive-timers.ts
+++ b/packages/coordination/src/core/records/request-timers.ts
@@ -3,12 +3,12 @@
  * cancelling and the deadline.
  */
 import { RunState } from '../model/outcome.js';
-import { prepareAttempt } from './drive-attempts.js';
-import { abandonPreparedAttempt, refuse, sendRefusal } from './drive-refusals.js';
-import { continueRound } from './drive-rounds.js';
-import { onCancelOutcome, onDeadlineInStream, reattach } from './drive-streams.js';
-import type { Turn } from './drive-support.js';
-import { RequestPhase, RequestTimer } from './drive-types.js';
+import { prepareAttempt } from './request-attempts.js';
+import { abandonPreparedAttempt, refuse, sendRefusal } from './request-refusals.js';
+import { continueRound } from './request-rounds.js';
+import { onCancelOutcome, onDeadlineInStream, reattach } from './request-streams.js';
+import type { Turn } from './request-support.js';
+import { RequestPhase, RequestTimer } from './request-types.js';
 import { DEADLINE_PASSED, RECORDS_UNREACHABLE } from './failures.js';
 import { CancelOutcome } from './messages.js';
 
--- a/packages/coordination/src/core/routing/prefix-index.ts
+++ b/packages/coordination/src/core/routing/prefix-index.ts
@@ -6,8 +6,8 @@
  * at once, without iterating over them.
  */
 import { LRUCache } from 'lru-cache';
-import { CacheChange } from './cache-news.js';
-import type { CacheEvent } from './cache-news.js';
+import { CacheChange } from './cache-event.js';
+import type { CacheEvent } from './cache-event.js';
 import type { TargetView } from './target-view.js';
 
 /** A target that holds a block; `generation` is the target's cache generation at that time. */
--- a/packages/coordination/src/core/routing/router.ts
+++ b/packages/coordination/src/core/routing/router.ts
@@ -4,7 +4,7 @@
  */
 import type { EngineRole } from '../model/configuration.js';
 import type { Hash32 } from '../hashing/hashing.js';
-import type { CacheEvent } from './cache-news.js';
+import type { CacheEvent } from './cache-event.js';
 import type { EngineProfile } from './engine-profile.js';
 import type { LoadReport, TargetInfo } from './load-report.js';
 import { createOutputLengths, recordOutputLength } from './output-length.js';
--- a/packages/coordination/src/core/scheduling/dispatching.ts
+++ b/packages/coordination/src/core/scheduling/dispatch.ts
@@ -5,7 +5,7 @@
  */
 import { EnginePhase } from '../forwarding/fleet.js';
 import { recordConnection } from './connections.js';
-import { chooseDecodeEngine } from './handover.js';
+import { chooseDecodeEngine } from './decode-engine.js';
 import { type Decision, DecisionKind } from './job.js';
 import {
   choosePlacement,
@@ -14,12 +14,12 @@
   hasPrefillEngine,
   mayPrefill,
   predictPlacement,
-} from './placing.js';
+} from './placement.js';
 import { countCachedParts, recordPrompt } from './prompt-cache.js';
 import { type ServiceEstimate, compareRank } from './ranking.js';
-import { type PrefillCost, findCacheHolders, prefillCost } from './read-cost.js';
-import { rateLimitRefusal } from './rate-limited.js';
-import { recordDecision } from './refusing.js';
+import { type PrefillCost, findCacheHolders, prefillCost } from './prefill-cost.js';
+import { rateLimitRefusal } from './rate-limit-refusal.js';
+import { recordDecision } from './load-shedding.js';
 import type { QueuedJob, Scheduler } from './scheduler-state.js';
 import { recordServedSize } from './size-fairness.js';
 import {
@@ -30,7 +30,7 @@
   isUsable,
   pendingPrefillMs,
 } from './target-load.js';
-import { moveToQueue, queueOf } from './waiting-lines.js';
+import { moveToQueue, queueOf } from './job-queues.js';
 
 /** Starts queued jobs on every engine with free capacity. */
 export function dispatch(scheduler: Scheduler, nowMs: number): readonly Decision[] {
--- a/packages/coordination/src/core/scheduling/refusing.ts
+++ b/packages/coordination/src/core/scheduling/load-shedding.ts
@@ -4,12 +4,12 @@
  * for one has waited in vain.
  */
 import { type Decision, DecisionKind, type Job, RefusalReason } from './job.js';
-import { type PlacementOption, estimateQueuedService } from './placing.js';
+import { type PlacementOption, estimateQueuedService } from './placement.js';
 import { isOnTime } from './ranking.js';
-import { recordRefusal } from './returners.js';
+import { recordRefusal } from './refused-requests.js';
 import type { QueuedJob, Scheduler } from './scheduler-state.js';
 import { type TargetLoad, pendingPrefillMs } from './target-load.js';
-import { dequeue, queueOf } from './waiting-lines.js';
+import { dequeue, queueOf } from './job-queues.js';
 
 /** How long a decision is kept after the job's deadline. */
 const DECISION_RETENTION_MS = 1000;
--- a/packages/coordination/src/core/scheduling/placing.ts
+++ b/packages/coordination/src/core/scheduling/placement.ts
@@ -8,11 +8,11 @@
 import type { Job } from './job.js';
 import { countCachedParts, tokensBetween } from './prompt-cache.js';
 import { type ServiceEstimate, type Standing, compareRank } from './ranking.js';
-import { type PrefillCost, findCacheHolders, prefillCost } from './read-cost.js';
+import { type PrefillCost, findCacheHolders, prefillCost } from './prefill-cost.js';
 import type { CachedCost, QueuedJob, Scheduler } from './scheduler-state.js';
 import { isStarved } from './size-fairness.js';
 import { type TargetLoad, canDecode, isUsable, pendingPrefillMs } from './target-load.js';
-import { queueOf } from './waiting-lines.js';
+import { queueOf } from './job-queues.js';
 
 /** An engine on which a job could be queued, with the predicted result. */
 export interface PlacementOption {
--- a/packages/coordination/src/core/scheduling/read-cost.ts
+++ b/packages/coordination/src/core/scheduling/prefill-cost.ts
@@ -5,7 +5,7 @@
  */
 import type { Job } from './job.js';
 import { countCachedParts, tokensBetween } from './prompt-cache.js';
-import { predictPrefillMs } from './read-time.js';
+import { predictPrefillMs } from './prefill-time.js';
 import { type TargetLoad, countTransferableParts, isUsable } from './target-load.js';
 
 /** Transfers to another failure domain take this many times as long. */
--- a/packages/coordination/src/core/scheduling/rate-limited.ts
+++ b/packages/coordination/src/core/scheduling/rate-limit-refusal.ts
@@ -5,7 +5,7 @@
  * a permit will be available.
  */
 import { type Decision, type Job, RefusalReason } from './job.js';
-import { refuse } from './refusing.js';
+import { refuse } from './load-shedding.js';
 import type { Scheduler } from './scheduler-state.js';
 import { type TargetLoad, canDecode, isHealthy } from './target-load.js';
 
--- a/packages/coordination/src/core/scheduling/scheduler-state.ts
+++ b/packages/coordination/src/core/scheduling/scheduler-state.ts
@@ -9,8 +9,8 @@
 import type { SchedulerOptions } from './options.js';
 import { mergeCacheListing } from './prompt-cache.js';
 import { type RouteSizes, createRouteSizes } from './ranking.js';
-import type { CacheHolders, PrefillCost } from './read-cost.js';
-import { type RefusedRequests, createRefusedRequests } from './returners.js';
+import type { CacheHolders, PrefillCost } from './prefill-cost.js';
+import { type RefusedRequests, createRefusedRequests } from './refused-requests.js';
 import { type SizeClass, type SizeFairness, createSizeFairness } from './size-fairness.js';
 import { type TargetLoad, createTargetLoad, updateEntry } from './target-load.js';
 
--- a/packages/coordination/src/core/scheduling/scheduler.ts
+++ b/packages/coordination/src/core/scheduling/scheduler.ts
@@ -5,15 +5,15 @@
  * an empty queue steals work from another one. The functions do no I/O: they update the state and
  * return decisions.
  */
-import { dispatch } from './dispatching.js';
+import { dispatch } from './dispatch.js';
 import { type Decision, type Job, type JobEvent, JobEventKind, RefusalReason } from './job.js';
-import { choosePlacement } from './placing.js';
+import { choosePlacement } from './placement.js';
 import { recordPrompt, removeParts } from './prompt-cache.js';
 import { jobSize, jobValue, recordSize } from './ranking.js';
-import { recordPrefill } from './read-time.js';
-import { rateLimitRefusal } from './rate-limited.js';
-import { admissionRefusal, refuse, refuseUnservableJobs } from './refusing.js';
-import { wasRecentlyRefused } from './returners.js';
+import { recordPrefill } from './prefill-time.js';
+import { rateLimitRefusal } from './rate-limit-refusal.js';
+import { admissionRefusal, refuse, refuseUnservableJobs } from './load-shedding.js';
+import { wasRecentlyRefused } from './refused-requests.js';
 import type { QueuedJob, Scheduler } from './scheduler-state.js';
 import { recordRequestedSize } from './size-fairness.js';
 import {
@@ -24,7 +24,7 @@
   recordSuccess,
   uncachedPartsOf,
 } from './target-load.js';
-import { dequeue, enqueue } from './waiting-lines.js';
+import { dequeue, enqueue } from './job-queues.js';
 
 /** Accepts a new job, or handles a repeated request for a job that is queued or decided. */
 export function submitJob(scheduler: Scheduler, job: Job, nowMs: number): readonly Decision[] {
--- a/packages/coordination/src/core/scheduling/target-load.ts
+++ b/packages/coordination/src/core/scheduling/target-load.ts
@@ -11,7 +11,7 @@
   PREFILL_TOKENS_PER_MS,
   type PrefillTimeModel,
   createPrefillTimeModel,
-} from './read-time.js';
+} from './prefill-time.js';
 import type { SchedulerOptions } from './options.js';
 
 /** A prompt that an engine was given and has not finished prefilling. */
--- a/packages/coordination/test/core/claims/aggregator.test.ts
+++ b/packages/coordination/test/core/claims/aggregator.test.ts
@@ -20,7 +20,7 @@
   createClaimClient,
   onClaimReply,
   tickClaimClient,
-} from '../../../src/core/claims/client.js';
+} from '../../../src/core/claims/claim-client.js';
 import { DEFAULT_CLAIM_CLIENT_OPTIONS } from '../../../src/core/records/options.js';
 import { makeAttempt } from '../../fixtures/requests.js';
 
--- a/packages/coordination/test/core/forwarding/news-pace.test.ts
+++ b/packages/coordination/test/core/forwarding/poll-interval.test.ts
@@ -6,7 +6,7 @@
   pollIntervalOptions,
   pauseAfterFailureMs,
   pauseAfterAnswerMs,
-} from '../../../src/core/forwarding/news-pace.js';
+} from '../../../src/core/forwarding/poll-interval.js';
 
 const APPLY_WITHIN_MS = 4000;
 /** Duration of a call to a slow store: fifty times the usual duration. */
--- a/packages/coordination/test/core/membership/wire.test.ts
+++ b/packages/coordination/test/core/membership/wire.test.ts
@@ -17,7 +17,7 @@
   enqueueUpdate,
   updateBytes,
   takeUpdates,
-} from '../../../src/core/membership/news-queue.js';
+} from '../../../src/core/membership/update-queue.js';
 
 const MAX_DATAGRAM_BYTES = 1_200;
 
--- a/packages/coordination/test/core/poison/poison.test.ts
+++ b/packages/coordination/test/core/poison/poison.test.ts
@@ -9,9 +9,9 @@
   PoisonEffectKind,
   PoisonEventKind,
   PoisonWorkKind,
-} from '../../../src/core/poison/client-types.js';
-import type { PoisonEffect, PoisonEvent } from '../../../src/core/poison/client-types.js';
-import { createPoisonClient, handlePoisonEvent } from '../../../src/core/poison/client.js';
+} from '../../../src/core/poison/poison-client-types.js';
+import type { PoisonEffect, PoisonEvent } from '../../../src/core/poison/poison-client-types.js';
+import { createPoisonClient, handlePoisonEvent } from '../../../src/core/poison/poison-client.js';
 import { isConvicted, ledgerKeyOf, loneRunKeyOf } from '../../../src/core/poison/ledger.js';
 import {
   clearSuspicion,
@@ -20,7 +20,7 @@
   mergeLedger,
   suspicionOf,
 } from '../../../src/core/poison/suspicions.js';
-import { LoneRunOutcome, Suspicion } from '../../../src/core/records/drive-types.js';
+import { LoneRunOutcome, Suspicion } from '../../../src/core/records/request-types.js';
 import { LoneRunStatus } from '../../../src/core/records/messages.js';
 import { DEFAULT_POISON_OPTIONS } from '../../../src/core/records/options.js';
 
--- a/packages/coordination/test/core/records/drive.test.ts
+++ b/packages/coordination/test/core/records/request-machine.test.ts
@@ -3,16 +3,19 @@
 import { describe, it } from 'node:test';
 import { RunState } from '../../../src/core/model/outcome.js';
 import { createRetryBudget } from '../../../src/core/retries/retries.js';
-import { createRequestMachine, handleRequestEvent } from '../../../src/core/records/drive.js';
-import { eventIdOf, extendHash, parseEventId } from '../../../src/core/records/drive-delivery.js';
-import { RequestEffectKind, RequestEventKind } from '../../../src/core/records/drive-messages.js';
-import type { RequestEffect, RequestEvent } from '../../../src/core/records/drive-messages.js';
-import { ClaimOutcome, RequestTimer, Suspicion } from '../../../src/core/records/drive-types.js';
+import {
+  createRequestMachine,
+  handleRequestEvent,
+} from '../../../src/core/records/request-machine.js';
+import { eventIdOf, extendHash, parseEventId } from '../../../src/core/records/request-delivery.js';
+import { RequestEffectKind, RequestEventKind } from '../../../src/core/records/request-events.js';
+import type { RequestEffect, RequestEvent } from '../../../src/core/records/request-events.js';
+import { ClaimOutcome, RequestTimer, Suspicion } from '../../../src/core/records/request-types.js';
 import type {
   RequestContext,
   CallerRequest,
   RequestMachine,
-} from '../../../src/core/records/drive-types.js';
+} from '../../../src/core/records/request-types.js';
 import {
   CancelOutcome,
   HolderReplyKind,
--- a/packages/coordination/test/core/records/drive-rounds.test.ts
+++ b/packages/coordination/test/core/records/request-rounds.test.ts
@@ -6,11 +6,14 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { createRetryBudget } from '../../../src/core/retries/retries.js';
-import { createRequestMachine, handleRequestEvent } from '../../../src/core/records/drive.js';
-import { RequestEffectKind, RequestEventKind } from '../../../src/core/records/drive-messages.js';
-import type { RequestEffect, RequestEvent } from '../../../src/core/records/drive-messages.js';
-import { RequestPhase, RequestTimer, Suspicion } from '../../../src/core/records/drive-types.js';
-import type { RequestMachine } from '../../../src/core/records/drive-types.js';
+import {
+  createRequestMachine,
+  handleRequestEvent,
+} from '../../../src/core/records/request-machine.js';
+import { RequestEffectKind, RequestEventKind } from '../../../src/core/records/request-events.js';
+import type { RequestEffect, RequestEvent } from '../../../src/core/records/request-events.js';
+import { RequestPhase, RequestTimer, Suspicion } from '../../../src/core/records/request-types.js';
+import type { RequestMachine } from '../../../src/core/records/request-types.js';
 import { DEFAULT_REQUEST_MACHINE_OPTIONS } from '../../../src/core/records/options.js';
 import { hash32, makeRecord } from '../../fixtures/requests.js';
 
--- a/packages/daemon/src/entry/entry-figures.ts
+++ b/packages/daemon/src/entry/entry-counters.ts
@@ -8,7 +8,7 @@
   RunState,
 } from '@cassiamast/coordination';
 import type { Telemetry } from '../node/telemetry.js';
-import type { LatencyMeasurements } from './latency-watch.js';
+import type { LatencyMeasurements } from './latency-meter.js';
 
 interface ServiceCounters {
   answered: number;
--- a/packages/daemon/src/entry/entry-status.ts
+++ b/packages/daemon/src/entry/entry-status.ts
@@ -12,7 +12,7 @@
   type Member,
 } from '@cassiamast/coordination';
 import { formatAddress } from '../node/address.js';
-import type { EntryCounters } from './entry-figures.js';
+import type { EntryCounters } from './entry-counters.js';
 import type { Policies } from './policies.js';
 import type { TargetDirectory } from './target-directory.js';
 
--- a/packages/daemon/src/entry/request-run.ts
+++ b/packages/daemon/src/entry/request-run.ts
@@ -26,7 +26,7 @@
 import { RpcMethod } from '../protocol/methods.js';
 import type { Payload } from '../protocol/stream.js';
 import type { CallerAnswer } from './caller-answer.js';
-import { createLatencyMeter } from './latency-watch.js';
+import { createLatencyMeter } from './latency-meter.js';
 import { estimateTokens } from './prompt-blocks.js';
 import { toRefusal } from './refusals.js';
 import type { RunServices } from './run-services.js';
--- a/packages/daemon/src/entry/run-services.ts
+++ b/packages/daemon/src/entry/run-services.ts
@@ -10,7 +10,7 @@
 import type { RpcClient } from '../node/rpc-client.js';
 import type { Telemetry } from '../node/telemetry.js';
 import type { ClaimDriver } from './claim-driver.js';
-import type { LatencyMeasurements } from './latency-watch.js';
+import type { LatencyMeasurements } from './latency-meter.js';
 import type { ServicePolicy } from './service-policy.js';
 import type { SessionDriver } from './session-driver.js';
 
--- a/packages/daemon/src/gateway/held-answer.ts
+++ b/packages/daemon/src/gateway/buffered-answer.ts
@@ -5,7 +5,7 @@
  */
 import type { ServerResponse } from 'node:http';
 import type { AnswerHead, CallerWire } from '@cassiamast/ports';
-import type { AnswerSink } from './ask-target.js';
+import type { AnswerSink } from './send-to-target.js';
 
 /** Answers up to this size are buffered; a phone's gateway has memory for some hundred of them. */
 const MAX_BUFFERED_BYTES = 256 * 1024;
--- a/packages/daemon/src/gateway/crash-reports.ts
+++ b/packages/daemon/src/gateway/crash-reports.ts
@@ -11,10 +11,10 @@
   addCrash,
 } from '@cassiamast/coordination';
 import type { FleetPort } from '@cassiamast/ports';
-import { type SendOutcome, SendOutcomeKind } from './ask-target.js';
+import { type SendOutcome, SendOutcomeKind } from './send-to-target.js';
 import type { Exchange } from './exchange.js';
 import type { GatewayLog } from './gateway-log.js';
-import type { TargetActivity } from './target-pulse.js';
+import type { TargetActivity } from './target-activity.js';
 
 /**
  * How long a crash counts: several times as long as a caller waits. When all gateways restart at
--- a/packages/daemon/src/gateway/stream-sending.ts
+++ b/packages/daemon/src/gateway/engine-requests.ts
@@ -10,10 +10,15 @@
   servingTarget,
 } from '@cassiamast/coordination';
 import type { PromptHandle } from '@cassiamast/ports';
-import { type AnswerSink, type SendOutcome, SendOutcomeKind, sendToTarget } from './ask-target.js';
+import {
+  type AnswerSink,
+  type SendOutcome,
+  SendOutcomeKind,
+  sendToTarget,
+} from './send-to-target.js';
 import { recordCrashOutcome } from './crash-reports.js';
 import type { ForwardingServices } from './forwarding-services.js';
-import { watchInactivity } from './silence-watch.js';
+import { watchInactivity } from './inactivity-watch.js';
 import { type Turn, TurnEnd, reportFailed, report } from './stream-turn.js';
 
 /**
--- a/packages/daemon/src/gateway/forwarding-services.ts
+++ b/packages/daemon/src/gateway/forwarding-services.ts
@@ -1,7 +1,7 @@
 /** The services that plain and stream forwarding share. */
 import type { FleetView, Hash32, Random } from '@cassiamast/coordination';
-import type { StallWatch } from '../node/standstill.js';
-import type { SendServices } from './ask-target.js';
+import type { StallWatch } from '../node/stall-watch.js';
+import type { SendServices } from './send-to-target.js';
 import type { CrashReports } from './crash-reports.js';
 import type { GatewayLog } from './gateway-log.js';
 import type { RetryBudgets } from './retry-budgets.js';
--- a/packages/daemon/src/gateway/silence-watch.ts
+++ b/packages/daemon/src/gateway/inactivity-watch.ts
@@ -5,8 +5,8 @@
  * requests wait; the target counts as unresponsive only if it sends nothing for any other request
  * either.
  */
-import type { StallWatch } from '../node/standstill.js';
-import type { TargetActivity } from './target-pulse.js';
+import type { StallWatch } from '../node/stall-watch.js';
+import type { TargetActivity } from './target-activity.js';
 
 /** Interval between checks of an inactive request. */
 const RECHECK_INTERVAL_MS = 100;
--- a/packages/daemon/src/gateway/plain-forwarding.ts
+++ b/packages/daemon/src/gateway/plain-forwarding.ts
@@ -3,10 +3,10 @@
  * idempotent and both its route's maximum of attempts and the retry budget allow it.
  */
 import { RequestedWork, DeliveryKind, type TargetEntry } from '@cassiamast/coordination';
-import { type SendOutcome, SendOutcomeKind, sendToTarget } from './ask-target.js';
+import { type SendOutcome, SendOutcomeKind, sendToTarget } from './send-to-target.js';
 import { recordCrashOutcome } from './crash-reports.js';
 import type { Exchange } from './exchange.js';
-import { type BufferedAnswer, bufferAnswer } from './held-answer.js';
+import { type BufferedAnswer, bufferAnswer } from './buffered-answer.js';
 import { failureStatus, sendOwnAnswer } from './own-answer.js';
 import { type ForwardingServices, newsAgeMs } from './forwarding-services.js';
 
--- a/packages/daemon/src/gateway/ask-target.ts
+++ b/packages/daemon/src/gateway/send-to-target.ts
@@ -6,8 +6,8 @@
  */
 import type { RequestedWork, TargetEntry } from '@cassiamast/coordination';
 import type { AnswerHead, CallerWire, HttpStream, HttpTransport } from '@cassiamast/ports';
-import type { StallWatch } from '../node/standstill.js';
-import type { TargetActivity } from './target-pulse.js';
+import type { StallWatch } from '../node/stall-watch.js';
+import type { TargetActivity } from './target-activity.js';
 
 /** How an attempt to send a request ended. */
 export enum SendOutcomeKind {
--- a/packages/daemon/src/gateway/stream-forwarding.ts
+++ b/packages/daemon/src/gateway/stream-forwarding.ts
@@ -17,7 +17,7 @@
 import { type ForwardingServices, newsAgeMs } from './forwarding-services.js';
 import { failureStatus, sendOwnAnswer } from './own-answer.js';
 import { createStreamRelay } from './stream-relay.js';
-import { freeHandle, requestPrefill, requestStream } from './stream-sending.js';
+import { freeHandle, requestPrefill, requestStream } from './engine-requests.js';
 import { type Turn, TurnEnd, report } from './stream-turn.js';
 
 /** Maximum number of turns of one request: the first one and a few after failures. */
--- a/packages/daemon/src/gateway/stream-relay.ts
+++ b/packages/daemon/src/gateway/stream-relay.ts
@@ -5,7 +5,7 @@
 import type { ServerResponse } from 'node:http';
 import { createEventFraming, hasPartialEvent, addEventBytes } from '@cassiamast/coordination';
 import type { AnswerHead, CallerWire } from '@cassiamast/ports';
-import type { AnswerSink } from './ask-target.js';
+import type { AnswerSink } from './send-to-target.js';
 
 /** The lowest HTTP status that is not a success. */
 const FIRST_FAILURE_STATUS = 300;
--- a/packages/daemon/src/wiring/start-process.ts
+++ b/packages/daemon/src/wiring/start-process.ts
@@ -29,7 +29,7 @@
 import { startTrafficMeter } from '../node/traffic-meter.js';
 import type { LoadedSettings, Settings } from '../settings/settings.js';
 import { type Child, createSupervisor, DEFAULT_RESTART_LIMIT } from '../supervisor/supervisor.js';
-import type { ProcessContext } from './process.js';
+import type { ProcessContext } from './process-context.js';
 import { wireEntry } from './wire-entry.js';
 import { wireSidecar } from './wire-sidecar.js';
 
--- a/packages/daemon/src/wiring/wire-entry.ts
+++ b/packages/daemon/src/wiring/wire-entry.ts
@@ -20,11 +20,11 @@
 import { createCallerServer } from '../entry/caller-server.js';
 import { createClaimDriver } from '../entry/claim-driver.js';
 import { createContacts } from '../entry/contacts.js';
-import { createEntryCounters } from '../entry/entry-figures.js';
+import { createEntryCounters } from '../entry/entry-counters.js';
 import { readServices } from '../entry/entry-status.js';
 import { createLoadSubscriptions } from '../entry/load-subscriptions.js';
 import { createPolicies } from '../entry/policies.js';
-import { MAX_ACTIVE_REQUESTS, createRequests } from '../entry/requests.js';
+import { MAX_ACTIVE_REQUESTS, createRequests } from '../entry/request-table.js';
 import type { RunServices } from '../entry/run-services.js';
 import { createSessionDriver } from '../entry/session-driver.js';
 import { setTargetGauges } from '../entry/target-gauges.js';
@@ -40,7 +40,7 @@
 import { RpcMethod } from '../protocol/methods.js';
 import type { EntrySettings } from '../settings/settings.js';
 import type { Child } from '../supervisor/supervisor.js';
-import type { ProcessContext } from './process.js';
+import type { ProcessContext } from './process-context.js';
 import { wireMember } from './wire-member.js';
 
 const QUEUE_PUMP_INTERVAL_MS = 10;
--- a/packages/daemon/src/wiring/wire-member.ts
+++ b/packages/daemon/src/wiring/wire-member.ts
@@ -39,7 +39,7 @@
 import { RpcMethod } from '../protocol/methods.js';
 import type { Settings } from '../settings/settings.js';
 import type { Child } from '../supervisor/supervisor.js';
-import type { ProcessContext } from './process.js';
+import type { ProcessContext } from './process-context.js';
 
 const MS_PER_S = 1_000;
 const US_PER_MS = 1_000;
--- a/packages/daemon/src/wiring/wire-sidecar.ts
+++ b/packages/daemon/src/wiring/wire-sidecar.ts
@@ -27,7 +27,7 @@
 import { createPlainBackend } from '../sidecar/plain-backend.js';
 import { createPrefill } from '../sidecar/prefill.js';
 import type { Child } from '../supervisor/supervisor.js';
-import type { ProcessContext } from './process.js';
+import type { ProcessContext } from './process-context.js';
 import { wireMember } from './wire-member.js';
 
 /** Parts of a sidecar, with the operations that its shutdown needs. */
--- a/packages/daemon/test/gateway/caller-left.test.ts
+++ b/packages/daemon/test/gateway/caller-left.test.ts
@@ -12,7 +12,7 @@
   type TargetEntry,
 } from '@cassiamast/coordination';
 import type { CallerWire, HttpTransport } from '@cassiamast/ports';
-import { SendOutcomeKind, sendToTarget } from '../../src/gateway/ask-target.js';
+import { SendOutcomeKind, sendToTarget } from '../../src/gateway/send-to-target.js';
 import { createSchedulingClient } from '../../src/gateway/scheduling-client.js';
 import type { JobRequest, SchedulingService } from '../../src/gateway/scheduling-service.js';
 
--- a/packages/daemon/test/gateway/counted-fleet.test.ts
+++ b/packages/daemon/test/gateway/store-call-counts.test.ts
@@ -4,7 +4,7 @@
 import type { Failure } from '@cassiamast/coordination';
 import { type FleetPort, KEY_VALUE_UNREACHABLE } from '@cassiamast/ports';
 import { errAsync, okAsync } from 'neverthrow';
-import { countStoreCalls } from '../../src/gateway/counted-fleet.js';
+import { countStoreCalls } from '../../src/gateway/store-call-counts.js';
 
 const UNREACHABLE: Failure = KEY_VALUE_UNREACHABLE.of({
   call: 'list',
