--- a/packages/daemon/src/gateway/crash-reports.ts
+++ b/packages/daemon/src/gateway/crash-reports.ts
@@ -120,7 +120,7 @@
     if (written === null || written.isErr()) {
       const cause = written?.isErr() === true ? written.error.message : 'no lease';
       count('crash_notes_lost_total');
-      log.warn('crashes not told', { notes: notes.length, cause });
+      log.warn('crash notes not written', { notes: notes.length, cause });
     }
   }
 
@@ -132,7 +132,7 @@
     const forgotten = await fleet.deleteCrashes(notes);
     // The notes expire with their lease a little later.
     if (forgotten.isErr()) {
-      log.warn('crashes not taken back', { cause: forgotten.error.message });
+      log.warn('crash notes not deleted', { cause: forgotten.error.message });
     }
   }
 
--- a/packages/daemon/src/gateway/fleet-follower.ts
+++ b/packages/daemon/src/gateway/fleet-follower.ts
@@ -154,7 +154,7 @@
   /** Requests a new listing if the store no longer has the changes after the known revision. */
   function relistIfHistoryGone(failure: Failure): boolean {
     if (!FLEET_HISTORY_GONE.is(failure)) return false;
-    log.warn('fleet listed anew', { cause: failure.message, revision: view.revision });
+    log.warn('fleet listed again', { cause: failure.message, revision: view.revision });
     needsListing = true;
     return true;
   }
--- a/packages/daemon/src/gateway/front-server.ts
+++ b/packages/daemon/src/gateway/front-server.ts
@@ -184,12 +184,12 @@
   }
   // The load balancer may route callers here long after this gateway became unready.
   if (exchange.endsAtMs > admission.acceptedUntilMs) {
-    services.log.info('not taken, the gateway stops', { request: exchange.id });
+    services.log.info('request rejected, the gateway stops', { request: exchange.id });
     refuse(response, services, OwnStatus.Refused, GATEWAY_STOPS_REASON, STOPPING_RETRY_MS);
     return;
   }
   if (services.crashes.isConvicted(exchange)) {
-    services.log.warn('not taken, it crashes targets', { request: exchange.id });
+    services.log.warn('request rejected, it crashes targets', { request: exchange.id });
     refuse(response, services, OwnStatus.Refused, CRASHES_TARGETS_REASON, CRASH_NOTE_TTL_MS);
     return;
   }
--- a/packages/daemon/src/gateway/header-watch.ts
+++ b/packages/daemon/src/gateway/header-watch.ts
@@ -22,7 +22,7 @@
       for (const header of unknownHeaders) {
         if (loggedNames.has(header) || loggedNames.size >= MAX_LOGGED_NAMES) continue;
         loggedNames.add(header);
-        log.warn('answer header not known', { header, target: target.id, status });
+        log.warn('unknown answer header', { header, target: target.id, status });
       }
     },
   };
--- a/packages/daemon/src/gateway/phase-planner.ts
+++ b/packages/daemon/src/gateway/phase-planner.ts
@@ -196,7 +196,7 @@
     changingUntilMs.set(engineId, nowMs() + PHASE_CHANGE_MS);
     const standing = await control.readStatus(target);
     if (standing.isErr()) {
-      log.warn('engine not read', { target: engineId, cause: standing.error.message });
+      log.warn('engine status not read', { target: engineId, cause: standing.error.message });
       return;
     }
     if (standing.value.busy || standing.value.phase === phase) return;
--- a/packages/daemon/src/gateway/presence.ts
+++ b/packages/daemon/src/gateway/presence.ts
@@ -95,7 +95,7 @@
 
   async function revoke(revokedLeaseId: string): Promise<void> {
     const revoked = await fleet.revokeLease(revokedLeaseId);
-    if (revoked.isErr()) log.warn('announcement left to lapse', { cause: revoked.error.message });
+    if (revoked.isErr()) log.warn('announcement not revoked', { cause: revoked.error.message });
   }
 
   return {
--- a/packages/daemon/src/gateway/scheduling-client.ts
+++ b/packages/daemon/src/gateway/scheduling-client.ts
@@ -147,7 +147,7 @@
     const earlierUntilMs = suspectUntilMs.get(gateway) ?? 0;
     suspectUntilMs.set(gateway, nowMs() + SUSPECT_MS);
     count('scheduler_unreachable_total');
-    if (earlierUntilMs <= nowMs()) log.warn('scheduler passed over', { gateway, service, cause });
+    if (earlierUntilMs <= nowMs()) log.warn('scheduler skipped', { gateway, service, cause });
   }
 
   const pendingReports = new Set<Promise<void>>();
--- a/packages/daemon/src/gateway/start-gateway.ts
+++ b/packages/daemon/src/gateway/start-gateway.ts
@@ -123,7 +123,7 @@
   const standstill = createStallWatch(monotonicMs, (forMs) => {
     telemetry.count('standstills_total');
     telemetry.record('standstill_ms', forMs);
-    log.warn('process stood still', { forMs: Math.round(forMs) });
+    log.warn('event loop stalled', { forMs: Math.round(forMs) });
   });
   const transport = createHttpTransport({
     connectTimeoutMs: CONNECT_TIMEOUT_MS,
@@ -335,7 +335,7 @@
         (next) => {
           // Settings without a grace period leave the current one unchanged.
           if (next.graceMs > 0) graceMs = next.graceMs;
-          log.lifecycle('settings read anew', { name: next.name, graceMs });
+          log.lifecycle('settings reloaded', { name: next.name, graceMs });
         },
         (cause) => {
           log.warn('settings not read', { cause });
--- a/packages/daemon/src/gateway/stream-forwarding.ts
+++ b/packages/daemon/src/gateway/stream-forwarding.ts
@@ -121,7 +121,7 @@
   for (const id of [plan.readAt, plan.streamAt]) {
     if (id === null || servingTarget(services.view, id, services.nowMs()) !== null) continue;
     exchange.failedTargets.add(id);
-    services.log.warn('grant not taken', {
+    services.log.warn('grant rejected', {
       request: exchange.id,
       scheduler: schedulerId,
       target: id,
--- a/packages/daemon/src/wiring/start-process.ts
+++ b/packages/daemon/src/wiring/start-process.ts
@@ -80,10 +80,10 @@
     },
   });
   await root.start(onFailure);
-  context.log.info(`${settings.kind} serves`);
+  context.log.info(`${settings.kind} is serving`);
   return {
     stop: async () => {
-      context.log.info(`${settings.kind} stops`);
+      context.log.info(`${settings.kind} is stopping`);
       telemetry.emit({ kind: EventKind.ProcessStopping, reason: 'it was told to stop' });
       await drain(wired, settings.noticeMs, context.clocks.monotonicMs);
       await root.stop();
--- a/packages/daemon/src/wiring/wire-member.ts
+++ b/packages/daemon/src/wiring/wire-member.ts
@@ -177,7 +177,7 @@
     onInForce: (inForce) => {
       answerRetentionMs = inForce.compiled.limits.answerRetentionMs;
       appliedSinceWallMs = clocks.wallMs();
-      context.log.info(`configuration ${String(inForce.version)} is in force`);
+      context.log.info(`applied configuration ${String(inForce.version)}`);
       hooks.onConfigurationApplied(inForce);
     },
   });
--- a/packages/daemon/test/wiring/stop-signals.test.ts
+++ b/packages/daemon/test/wiring/stop-signals.test.ts
@@ -213,9 +213,9 @@
   ] as const) {
     it(`that stops after ${first} is not ended by another ${second}`, async () => {
       const daemon = await startEntry(await freePort());
-      await daemon.waitForLog('entry serves');
+      await daemon.waitForLog('entry is serving');
       daemon.kill(first);
-      await daemon.waitForLog('entry stops');
+      await daemon.waitForLog('entry is stopping');
       daemon.kill(second);
       assert.deepEqual(await daemon.exit, [0, null]);
     });
