--- a/packages/daemon/test/outcomes/dependencies.test.ts
+++ b/packages/daemon/test/outcomes/dependencies.test.ts
@@ -1,4 +1,4 @@
-/** What a dependency does: a service is only ready while what it depends on is. */
+/** Tests of service dependencies: a service is ready only while its dependencies are ready. */
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
 import type { Configuration } from '@cassiamast/coordination';
@@ -45,29 +45,29 @@
     return status;
   }
 
-  // The filing desk loses its last target. A draft that the model writes now could not be filed:
-  // it would use an engine and fail afterwards, so it is refused before it runs.
-  it('that has no target makes its dependents refuse, as not run', async () => {
+  // The plain service loses its last target. A model request that depends on it would occupy an
+  // engine and fail afterwards, so it is rejected before it runs.
+  it('without a target makes its dependents reject requests as not run', async () => {
     assert.equal((await askWhole(ask())).status, 200);
     const before = fleet.configuration();
-    const withoutDesk = changeServices(before, (service) => ({
+    const withoutDependency = changeServices(before, (service) => ({
       ...service,
       targets: service.targets.map((target) => ({
         ...target,
         withdrawn: service.name === PLAIN_SERVICE,
       })),
     }));
-    await fleet.apply(withoutDesk);
+    await fleet.apply(withoutDependency);
     await waitFor(async () => (await askOnce()) === 503);
-    const refused = await askWholeOnce({ url: fleet.url(0), prompt: `${PROMPT}!`, maxTokens: 4 });
-    assert.equal((refused.problem as { readonly runState: string }).runState, 'not-run');
+    const rejected = await askWholeOnce({ url: fleet.url(0), prompt: `${PROMPT}!`, maxTokens: 4 });
+    assert.equal((rejected.problem as { readonly runState: string }).runState, 'not-run');
     assert.equal(fleet.engines[0]?.runsOf(`${PROMPT}!`), 0);
     await fleet.apply(before);
     await waitFor(async () => (await askOnce()) === 200);
   });
 
-  // A plain service that calls on must be done before its own caller gives up.
-  it('is handed a deadline that ends before its caller’s', async () => {
+  // A plain service that calls another service must finish before its own caller gives up.
+  it('receives a deadline that ends before its caller’s', async () => {
     const response = await request(`${fleet.url(0)}/services/${PLAIN_SERVICE}/notes`, {
       method: 'POST',
       headers: { authorization: `Bearer ${API_KEY}`, prefer: 'wait=20' },
@@ -75,8 +75,8 @@
     });
     assert.equal(response.statusCode, 200);
     await response.body.dump();
-    const seen = fleet.plainServices[0]?.lastHeaders() ?? {};
-    const waitS = Number(/^wait=(\d+)$/.exec(String(seen['prefer']))?.[1]);
-    assert.ok(waitS >= 1 && waitS < 20, String(seen['prefer']));
+    const receivedHeaders = fleet.plainServices[0]?.lastHeaders() ?? {};
+    const waitS = Number(/^wait=(\d+)$/.exec(String(receivedHeaders['prefer']))?.[1]);
+    assert.ok(waitS >= 1 && waitS < 20, String(receivedHeaders['prefer']));
   });
 });
--- a/packages/daemon/test/outcomes/model-requests.test.ts
+++ b/packages/daemon/test/outcomes/model-requests.test.ts
@@ -1,4 +1,4 @@
-/** Model requests through failures of entries, sidecars, engines and callers' connections. */
+/** Tests of model requests across retries, broken caller connections and engine crashes. */
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
 import { AnswerVerdict, checkAnswer } from '@cassiamast/stand-ins';
@@ -22,10 +22,10 @@
     return fleet.engines.reduce((sum, engine) => sum + engine.runsOf(prompt), 0);
   }
 
-  describe('sent again', () => {
-    // An inspector's tablet loses the answer on the way and sends the finding's request again. A
-    // second run would word the finding differently, and the lessor would get two.
-    it('brings the same answer through another entry, run once', async () => {
+  describe('sent twice', () => {
+    // A caller loses the answer in transit and retries through another entry. A second run would
+    // produce a different text, and two versions of the answer would exist.
+    it('get the same answer through another entry and run once', async () => {
       const prompt = `${PROMPT} sent again`;
       const ask = { url: fleet.url(0), prompt, maxTokens: SHORT, key: 'again-1' };
       const first = await askWhole(ask);
@@ -36,15 +36,15 @@
       assert.equal(totalRuns(prompt), 1);
     });
 
-    it('refuses the same key with another body, by type', async () => {
+    it('are rejected with status 422 when the same key comes with another body', async () => {
       const ask = { url: fleet.url(0), prompt: `${PROMPT} a`, maxTokens: SHORT, key: 'again-2' };
       await askWhole(ask);
       const other = await askWhole({ ...ask, prompt: `${PROMPT} b` });
       assert.equal(other.status, 422);
     });
 
-    // Both of a caller's retries arrive at once, through two entries.
-    it('gives both of two simultaneous sendings one answer', async () => {
+    // Two attempts of one caller arrive simultaneously through two entries.
+    it('get one answer for two simultaneous attempts', async () => {
       const prompt = `${PROMPT} twice at once`;
       const ask = { url: fleet.url(0), prompt, maxTokens: SHORT, key: 'again-3' };
       const [first, second] = await Promise.all([
@@ -58,9 +58,10 @@
   });
 
   describe('over a broken connection', () => {
-    // A phone loses its network in mid-answer and comes back through another entry with the id of
-    // the last event it read. It must get the rest: nothing twice, nothing missing.
-    it('goes on from the last event that the caller read', async () => {
+    // A caller loses its connection in the middle of an answer and reconnects through another entry
+    // with the id of the last event that it received. It must get exactly the remaining events,
+    // without duplicates or gaps.
+    it('resume after the last event that the caller received', async () => {
       const prompt = `${PROMPT} broken connection`;
       const ask = { url: fleet.url(0), prompt, maxTokens: LONG, key: 'resume-1' };
       const first = askStream(ask);
@@ -76,10 +77,10 @@
     });
   });
 
-  describe('when the engine crashes in mid-answer', () => {
-    // An engine dies while a caller reads. What the caller has read stays true: another engine
-    // goes on behind the tokens that were sent.
-    it('goes on at another engine behind the tokens sent', async () => {
+  describe('when the engine crashes in the middle of an answer', () => {
+    // An engine crashes while it streams an answer. The tokens that the caller has received stay
+    // valid: another engine continues after them.
+    it('continue at another engine after the tokens already sent', async () => {
       const prompt = `${PROMPT} crash in mid-answer`;
       const ask = { url: fleet.url(0), prompt, maxTokens: LONG, key: 'crash-1' };
       const answer = askStream(ask);
@@ -94,7 +95,7 @@
   });
 
   describe('another workspace', () => {
-    it('can not read an answer by guessing its key', async () => {
+    it('cannot read an answer by guessing its key', async () => {
       const ask = { url: fleet.url(0), prompt: `${PROMPT} secret`, maxTokens: SHORT, key: 'mine' };
       assert.equal((await askWhole(ask)).status, 200);
       const guessed = await askWhole({ ...ask, apiKey: 'somebody-else' });
--- a/packages/daemon/test/outcomes/plain-calls.test.ts
+++ b/packages/daemon/test/outcomes/plain-calls.test.ts
@@ -1,11 +1,11 @@
-/** Calls of plain services, above all those that may not be repeated. */
+/** Tests of calls to plain services, mainly of calls that must not be repeated. */
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
 import { DeathPoint } from '@cassiamast/stand-ins';
 import { request } from 'undici';
 import { API_KEY, type Fleet, PLAIN_SERVICE, startFleet } from '../fixtures/fleet.js';
 
-interface Answered {
+interface CallAnswer {
   readonly status: number;
   readonly body: { readonly runState?: string; readonly type?: string; readonly run?: number };
 }
@@ -23,7 +23,7 @@
     path: string,
     callId: string,
     key?: string,
-  ): Promise<Answered> {
+  ): Promise<CallAnswer> {
     const response = await request(`${fleet.url(entry)}/services/${PLAIN_SERVICE}${path}`, {
       method: 'POST',
       headers: {
@@ -33,25 +33,25 @@
       },
       body: `{"filing":"${callId}"}`,
     });
-    const body = (await response.body.json()) as Answered['body'];
+    const body = (await response.body.json()) as CallAnswer['body'];
     return { status: response.statusCode, body };
   }
 
   function runsOf(callId: string): number {
-    return fleet.plainServices.reduce((sum, one) => sum + (one.runs().get(callId) ?? 0), 0);
+    return fleet.plainServices.reduce((sum, service) => sum + (service.runs().get(callId) ?? 0), 0);
   }
 
-  function dieNext(point: DeathPoint): void {
+  function crashOnNextCall(point: DeathPoint): void {
     for (const service of fleet.plainServices) service.setFaults({ dieNext: point });
   }
 
-  function live(): void {
+  function clearCrashFault(): void {
     for (const service of fleet.plainServices) service.setFaults({ dieNext: null });
   }
 
   describe('that may not be repeated', () => {
-    // A developer files a connection application and its browser sends it again through another
-    // entry. Two receipts would mean two firms in one substation slot.
+    // A caller sends a call and retries it through another entry. A second run would issue a second
+    // receipt, and the same slot could be assigned twice.
     it('run once however often they are sent', async () => {
       const first = await call(0, '/receipts', 'receipt-1', 'receipt-1');
       const second = await call(1, '/receipts', 'receipt-1', 'receipt-1');
@@ -70,12 +70,12 @@
       assert.equal(runsOf('receipt-2'), 1);
     });
 
-    // The service takes the application, then dies before it answers. Nobody can say any more
-    // whether the receipt was issued: it must not be tried again, nor be called "not run".
-    it('are not tried again after the target died while running them', async () => {
-      dieNext(DeathPoint.During);
+    // The target accepts the call and crashes before it answers. Whether the call took effect is
+    // unknown, so it must neither be retried nor be reported as "not run".
+    it('are not retried after the target crashed while running them', async () => {
+      crashOnNextCall(DeathPoint.During);
       const answered = await call(0, '/receipts', 'receipt-3', 'receipt-3');
-      live();
+      clearCrashFault();
       assert.equal(answered.body.runState, 'unknown');
       assert.equal(runsOf('receipt-3'), 1);
       const again = await call(1, '/receipts', 'receipt-3', 'receipt-3');
@@ -83,8 +83,8 @@
       assert.equal(runsOf('receipt-3'), 1);
     });
 
-    // Without the key-value service no claim can be taken: the call is refused before it runs.
-    it('are refused while the key-value service is out, and not run', async () => {
+    // Without the key-value service no claim can be acquired, so the call is rejected before it runs.
+    it('are rejected without a run while the key-value service is unavailable', async () => {
       fleet.keyValue.setFaults({ down: true });
       const answered = await call(0, '/receipts', 'receipt-4');
       fleet.keyValue.setFaults({ down: false });
@@ -93,7 +93,7 @@
       assert.equal(runsOf('receipt-4'), 0);
     });
 
-    // The claim was written, but its answer was lost. The claim is found again by reading back.
+    // The claim was written, but the response to the write was lost. Reading the key back finds it.
     it('run once when the answer to the claim was lost', async () => {
       fleet.keyValue.setFaults({ loseAnswers: 1 });
       const answered = await call(0, '/receipts', 'receipt-5', 'receipt-5');
@@ -103,16 +103,16 @@
   });
 
   describe('that may be repeated', () => {
-    it('are tried at another target when one dies', async () => {
-      dieNext(DeathPoint.Before);
+    it('are tried at another target when one crashes', async () => {
+      crashOnNextCall(DeathPoint.Before);
       const first = await call(0, '/notes', 'note-1', 'note-1');
-      live();
+      clearCrashFault();
       assert.ok(first.status === 200 || first.status === 502, String(first.status));
       const again = await call(0, '/notes', 'note-1', 'note-1');
       assert.equal(again.status, 200);
     });
 
-    it('go on while the key-value service is out', async () => {
+    it('are answered while the key-value service is unavailable', async () => {
       fleet.keyValue.setFaults({ down: true });
       const answered = await call(1, '/notes', 'note-2');
       fleet.keyValue.setFaults({ down: false });
--- a/packages/daemon/test/outcomes/planned-change.test.ts
+++ b/packages/daemon/test/outcomes/planned-change.test.ts
@@ -1,4 +1,7 @@
-/** Planned change cuts no request: shutdown of an entry and of a sidecar, withdrawal, edits. */
+/**
+ * Tests that planned changes abort no request: graceful shutdown of an entry or a sidecar, withdrawal
+ * of a target and edits of the configuration.
+ */
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
 import type { Configuration } from '@cassiamast/coordination';
@@ -36,8 +39,8 @@
   });
   after(() => fleet.stop());
 
-  // The platform replaces an entry's VM while inspectors read their findings from it.
-  it('lets an entry that shuts down finish its open answers', async () => {
+  // The VM of an entry is replaced while the entry streams answers to callers.
+  it('lets an entry that shuts down finish its answers in flight', async () => {
     const prompt = 'Finding while the entry shuts down';
     const answer = askStream({ url: fleet.url(1), prompt, maxTokens: LONG });
     await waitFor(() => answer.text.length > 50);
@@ -49,7 +52,7 @@
     entry.running = await start(entry.settings);
   });
 
-  // The process beside an engine is updated while the engine writes.
+  // The sidecar of an engine is updated while the engine decodes.
   it('lets a sidecar that shuts down finish its attempts', async () => {
     const prompt = 'Finding while the sidecar shuts down';
     const answer = askStream({ url: fleet.url(0), prompt, maxTokens: LONG });
@@ -63,8 +66,9 @@
     sidecar.running = await start(sidecar.settings);
   });
 
-  // An operator withdraws a target in the text: its running work ends, nothing new goes there.
-  it('gives a withdrawn target no new work and cuts none', async () => {
+  // An operator withdraws a target in the configuration: its running requests finish, and it gets no
+  // new ones.
+  it('gives a withdrawn target no new work and aborts none', async () => {
     const prompt = 'Finding while its target is withdrawn';
     const answer = askStream({ url: fleet.url(0), prompt, maxTokens: LONG });
     await waitFor(() => answer.text.length > 50);
@@ -87,8 +91,9 @@
     await fleet.apply(before);
   });
 
-  // Guards against an edit that cuts what runs at a target, and takes the cut for a crash.
-  it('lets what runs at a target end that is taken out of the text', async () => {
+  // Removing a target from the configuration must not abort its running requests. An aborted request
+  // would also be counted as a crash.
+  it('lets the requests of a target finish after its removal from the configuration', async () => {
     const prompt = 'Finding while its target is taken out of the text';
     const answer = askStream({ url: fleet.url(0), prompt, maxTokens: LONG });
     await waitFor(() => answer.text.length > 50);
--- a/packages/daemon/test/outcomes/poisoned-requests.test.ts
+++ b/packages/daemon/test/outcomes/poisoned-requests.test.ts
@@ -1,4 +1,4 @@
-/** A request that crashes each engine that runs it. */
+/** Tests of a request that crashes every engine that runs it. */
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
 import { AnswerVerdict, checkAnswer } from '@cassiamast/stand-ins';
@@ -26,22 +26,22 @@
     return fleet.engines.reduce((sum, engine) => sum + engine.counts().crashes, 0);
   }
 
-  // One malformed maintenance history crashes whatever reads it. Its caller sends it again and
-  // again, under new keys, through every entry. The inspectors' other findings must go on.
-  it('gets a typed final answer after two crashes in all, and innocents finish', async () => {
+  // A malformed prompt crashes every engine that processes it, and its caller retries it with new
+  // keys through every entry. The requests of other callers must still finish.
+  it('gets a typed final answer after two crashes in total, and other requests finish', async () => {
     const prompt = `History with an ${MARKER}`;
-    const innocent = 'An innocent defect entry in the same batch.';
-    const beside = askStream({ url: fleet.url(1), prompt: innocent, maxTokens: LONG });
-    await waitFor(() => beside.text.length > 20);
+    const unrelatedPrompt = 'An innocent defect entry in the same batch.';
+    const concurrent = askStream({ url: fleet.url(1), prompt: unrelatedPrompt, maxTokens: LONG });
+    await waitFor(() => concurrent.text.length > 20);
     const first = await askWhole({ url: fleet.url(0), prompt, maxTokens: SHORT, key: 'p1' });
     assert.equal(first.status, 422, JSON.stringify(first.problem));
-    await beside.closed;
-    assert.equal(beside.done, true, JSON.stringify(beside.problem));
-    assert.equal(checkAnswer(innocent, LONG, beside.text), AnswerVerdict.Whole);
+    await concurrent.closed;
+    assert.equal(concurrent.done, true, JSON.stringify(concurrent.problem));
+    assert.equal(checkAnswer(unrelatedPrompt, LONG, concurrent.text), AnswerVerdict.Whole);
     assert.equal(crashes(), 2);
   });
 
-  it('is known by its content under another key and through another entry', async () => {
+  it('is recognized by its content under another key and through another entry', async () => {
     const prompt = `History with an ${MARKER}`;
     const again = await askWhole({ url: fleet.url(2), prompt, maxTokens: SHORT, key: 'p2' });
     assert.equal(again.status, 422, JSON.stringify(again.problem));
--- a/packages/daemon/test/outcomes/slow-key-value.test.ts
+++ b/packages/daemon/test/outcomes/slow-key-value.test.ts
@@ -1,4 +1,4 @@
-/** A fleet that starts while the key-value service answers late. */
+/** Tests a fleet that starts while the key-value service responds slowly. */
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
 import { askWhole } from '../fixtures/callers.js';
@@ -14,7 +14,8 @@
   });
   after(() => fleet.stop());
 
-  // Guards against reads that are given up before a slow service answers, so that nobody ever serves.
+  // Reads of the configuration must not time out before a slow key-value service responds. Otherwise
+  // no entry ever serves.
   it('serves callers', async () => {
     const prompt = 'History with a late page.';
     const answer = await askWhole({ url: fleet.url(0), prompt, maxTokens: 4, key: 'slow-1' });
