--- a/packages/daemon/test/outcomes/dependencies.test.ts
+++ b/packages/daemon/test/outcomes/dependencies.test.ts
@@ -3,7 +3,11 @@
 import { after, before, describe, it } from 'node:test';
 import type { Configuration } from '@cassiamast/coordination';
 import { request } from 'undici';
-import { type Ask, askWhole, askWholeOnce } from '../fixtures/callers.js';
+import {
+  type CompletionOptions,
+  requestCompletion,
+  requestCompletionOnce,
+} from '../fixtures/callers.js';
 import {
   API_KEY,
   type Fleet,
@@ -38,17 +42,17 @@
   });
   after(() => fleet.stop());
 
-  const ask = (): Ask => ({ url: fleet.url(0), prompt: PROMPT, maxTokens: 4 });
+  const options = (): CompletionOptions => ({ url: fleet.url(0), prompt: PROMPT, maxTokens: 4 });
 
-  async function askOnce(): Promise<number> {
-    const { status } = await askWholeOnce(ask());
+  async function requestStatus(): Promise<number> {
+    const { status } = await requestCompletionOnce(options());
     return status;
   }
 
   // The plain service loses its last target. A model request that depends on it would occupy an
   // engine and fail afterwards, so it is rejected before it runs.
   it('without a target makes its dependents reject requests as not run', async () => {
-    assert.equal((await askWhole(ask())).status, 200);
+    assert.equal((await requestCompletion(options())).status, 200);
     const before = fleet.configuration();
     const withoutDependency = changeServices(before, (service) => ({
       ...service,
@@ -58,12 +62,16 @@
       })),
     }));
     await fleet.apply(withoutDependency);
-    await waitFor(async () => (await askOnce()) === 503);
-    const rejected = await askWholeOnce({ url: fleet.url(0), prompt: `${PROMPT}!`, maxTokens: 4 });
+    await waitFor(async () => (await requestStatus()) === 503);
+    const rejected = await requestCompletionOnce({
+      url: fleet.url(0),
+      prompt: `${PROMPT}!`,
+      maxTokens: 4,
+    });
     assert.equal((rejected.problem as { readonly runState: string }).runState, 'not-run');
     assert.equal(fleet.engines[0]?.runsOf(`${PROMPT}!`), 0);
     await fleet.apply(before);
-    await waitFor(async () => (await askOnce()) === 200);
+    await waitFor(async () => (await requestStatus()) === 200);
   });
 
   // A plain service that calls another service must finish before its own caller gives up.
--- a/packages/daemon/test/outcomes/model-requests.test.ts
+++ b/packages/daemon/test/outcomes/model-requests.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
 import { AnswerVerdict, checkAnswer } from '@cassiamast/stand-ins';
-import { askStream, askWhole } from '../fixtures/callers.js';
+import { streamCompletion, requestCompletion } from '../fixtures/callers.js';
 import { API_KEY, type Fleet, startFleet } from '../fixtures/fleet.js';
 import { waitFor } from '../fixtures/wait-for.js';
 
@@ -27,9 +27,9 @@
     // produce a different text, and two versions of the answer would exist.
     it('get the same answer through another entry and run once', async () => {
       const prompt = `${PROMPT} sent again`;
-      const ask = { url: fleet.url(0), prompt, maxTokens: SHORT, key: 'again-1' };
-      const first = await askWhole(ask);
-      const second = await askWhole({ ...ask, url: fleet.url(1) });
+      const options = { url: fleet.url(0), prompt, maxTokens: SHORT, key: 'again-1' };
+      const first = await requestCompletion(options);
+      const second = await requestCompletion({ ...options, url: fleet.url(1) });
       assert.equal(first.status, 200, JSON.stringify(first.problem));
       assert.equal(checkAnswer(prompt, SHORT, first.text), AnswerVerdict.Whole);
       assert.equal(second.text, first.text);
@@ -37,19 +37,24 @@
     });
 
     it('are rejected with status 422 when the same key comes with another body', async () => {
-      const ask = { url: fleet.url(0), prompt: `${PROMPT} a`, maxTokens: SHORT, key: 'again-2' };
-      await askWhole(ask);
-      const other = await askWhole({ ...ask, prompt: `${PROMPT} b` });
+      const options = {
+        url: fleet.url(0),
+        prompt: `${PROMPT} a`,
+        maxTokens: SHORT,
+        key: 'again-2',
+      };
+      await requestCompletion(options);
+      const other = await requestCompletion({ ...options, prompt: `${PROMPT} b` });
       assert.equal(other.status, 422);
     });
 
     // Two attempts of one caller arrive simultaneously through two entries.
     it('get one answer for two simultaneous attempts', async () => {
       const prompt = `${PROMPT} twice at once`;
-      const ask = { url: fleet.url(0), prompt, maxTokens: SHORT, key: 'again-3' };
+      const options = { url: fleet.url(0), prompt, maxTokens: SHORT, key: 'again-3' };
       const [first, second] = await Promise.all([
-        askWhole(ask),
-        askWhole({ ...ask, url: fleet.url(2) }),
+        requestCompletion(options),
+        requestCompletion({ ...options, url: fleet.url(2) }),
       ]);
       assert.equal(checkAnswer(prompt, SHORT, first.text), AnswerVerdict.Whole);
       assert.equal(second.text, first.text);
@@ -63,13 +68,13 @@
     // without duplicates or gaps.
     it('resume after the last event that the caller received', async () => {
       const prompt = `${PROMPT} broken connection`;
-      const ask = { url: fleet.url(0), prompt, maxTokens: LONG, key: 'resume-1' };
-      const first = askStream(ask);
+      const options = { url: fleet.url(0), prompt, maxTokens: LONG, key: 'resume-1' };
+      const first = streamCompletion(options);
       await waitFor(() => first.text.length > 100);
-      first.breakOff();
+      first.disconnect();
       await first.closed;
       const { lastEventId } = first;
-      const second = askStream({ ...ask, url: fleet.url(1), lastEventId });
+      const second = streamCompletion({ ...options, url: fleet.url(1), lastEventId });
       await second.closed;
       assert.equal(second.done, true);
       assert.equal(checkAnswer(prompt, LONG, first.text + second.text), AnswerVerdict.Whole);
@@ -82,8 +87,8 @@
     // valid: another engine continues after them.
     it('continue at another engine after the tokens already sent', async () => {
       const prompt = `${PROMPT} crash in mid-answer`;
-      const ask = { url: fleet.url(0), prompt, maxTokens: LONG, key: 'crash-1' };
-      const answer = askStream(ask);
+      const options = { url: fleet.url(0), prompt, maxTokens: LONG, key: 'crash-1' };
+      const answer = streamCompletion(options);
       await waitFor(() => answer.text.length > 100);
       const running = fleet.engines.find((engine) => engine.runsOf(prompt) > 0);
       assert.ok(running !== undefined);
@@ -96,9 +101,14 @@
 
   describe('another workspace', () => {
     it('cannot read an answer by guessing its key', async () => {
-      const ask = { url: fleet.url(0), prompt: `${PROMPT} secret`, maxTokens: SHORT, key: 'mine' };
-      assert.equal((await askWhole(ask)).status, 200);
-      const guessed = await askWhole({ ...ask, apiKey: 'somebody-else' });
+      const options = {
+        url: fleet.url(0),
+        prompt: `${PROMPT} secret`,
+        maxTokens: SHORT,
+        key: 'mine',
+      };
+      assert.equal((await requestCompletion(options)).status, 200);
+      const guessed = await requestCompletion({ ...options, apiKey: 'somebody-else' });
       assert.equal(guessed.status, 401);
       assert.notEqual(API_KEY, 'somebody-else');
     });
--- a/packages/daemon/test/outcomes/planned-change.test.ts
+++ b/packages/daemon/test/outcomes/planned-change.test.ts
@@ -6,7 +6,7 @@
 import { after, before, describe, it } from 'node:test';
 import type { Configuration } from '@cassiamast/coordination';
 import { AnswerVerdict, checkAnswer } from '@cassiamast/stand-ins';
-import { askStream, askWhole } from '../fixtures/callers.js';
+import { streamCompletion, requestCompletion } from '../fixtures/callers.js';
 import { type Fleet, start, startFleet } from '../fixtures/fleet.js';
 import { waitFor } from '../fixtures/wait-for.js';
 
@@ -42,7 +42,7 @@
   // The VM of an entry is replaced while the entry streams answers to callers.
   it('lets an entry that shuts down finish its answers in flight', async () => {
     const prompt = 'Finding while the entry shuts down';
-    const answer = askStream({ url: fleet.url(1), prompt, maxTokens: LONG });
+    const answer = streamCompletion({ url: fleet.url(1), prompt, maxTokens: LONG });
     await waitFor(() => answer.text.length > 50);
     const entry = fleet.entries[1];
     assert.ok(entry !== undefined);
@@ -55,7 +55,7 @@
   // The sidecar of an engine is updated while the engine decodes.
   it('lets a sidecar that shuts down finish its attempts', async () => {
     const prompt = 'Finding while the sidecar shuts down';
-    const answer = askStream({ url: fleet.url(0), prompt, maxTokens: LONG });
+    const answer = streamCompletion({ url: fleet.url(0), prompt, maxTokens: LONG });
     await waitFor(() => answer.text.length > 50);
     const index = fleet.engines.findIndex((engine) => engine.runsOf(prompt) > 0);
     const sidecar = fleet.sidecars[index];
@@ -70,7 +70,7 @@
   // new ones.
   it('gives a withdrawn target no new work and aborts none', async () => {
     const prompt = 'Finding while its target is withdrawn';
-    const answer = askStream({ url: fleet.url(0), prompt, maxTokens: LONG });
+    const answer = streamCompletion({ url: fleet.url(0), prompt, maxTokens: LONG });
     await waitFor(() => answer.text.length > 50);
     const index = fleet.engines.findIndex((engine) => engine.runsOf(prompt) > 0);
     const before = fleet.configuration();
@@ -79,12 +79,12 @@
     assert.equal(answer.done, true, JSON.stringify(answer.problem));
     await waitFor(async () => {
       const probe = `probe ${String(Math.floor(performance.now()))}`;
-      await askWhole({ url: fleet.url(0), prompt: probe, maxTokens: SHORT });
+      await requestCompletion({ url: fleet.url(0), prompt: probe, maxTokens: SHORT });
       return fleet.engines[index]?.runsOf(probe) === 0;
     });
     for (let request = 0; request < 20; request += 1) {
       const prompt = `after withdrawal ${String(request)}`;
-      const whole = await askWhole({ url: fleet.url(0), prompt, maxTokens: SHORT });
+      const whole = await requestCompletion({ url: fleet.url(0), prompt, maxTokens: SHORT });
       assert.equal(whole.status, 200);
       assert.equal(fleet.engines[index]?.runsOf(prompt), 0);
     }
@@ -95,7 +95,7 @@
   // would also be counted as a crash.
   it('lets the requests of a target finish after its removal from the configuration', async () => {
     const prompt = 'Finding while its target is taken out of the text';
-    const answer = askStream({ url: fleet.url(0), prompt, maxTokens: LONG });
+    const answer = streamCompletion({ url: fleet.url(0), prompt, maxTokens: LONG });
     await waitFor(() => answer.text.length > 50);
     const index = fleet.engines.findIndex((engine) => engine.runsOf(prompt) > 0);
     const before = fleet.configuration();
--- a/packages/daemon/test/outcomes/poisoned-requests.test.ts
+++ b/packages/daemon/test/outcomes/poisoned-requests.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
 import { AnswerVerdict, checkAnswer } from '@cassiamast/stand-ins';
-import { askStream, askWhole } from '../fixtures/callers.js';
+import { streamCompletion, requestCompletion } from '../fixtures/callers.js';
 import { type Fleet, startFleet } from '../fixtures/fleet.js';
 import { waitFor } from '../fixtures/wait-for.js';
 
@@ -31,9 +31,18 @@
   it('gets a typed final answer after two crashes in total, and other requests finish', async () => {
     const prompt = `History with an ${MARKER}`;
     const unrelatedPrompt = 'An innocent defect entry in the same batch.';
-    const concurrent = askStream({ url: fleet.url(1), prompt: unrelatedPrompt, maxTokens: LONG });
+    const concurrent = streamCompletion({
+      url: fleet.url(1),
+      prompt: unrelatedPrompt,
+      maxTokens: LONG,
+    });
     await waitFor(() => concurrent.text.length > 20);
-    const first = await askWhole({ url: fleet.url(0), prompt, maxTokens: SHORT, key: 'p1' });
+    const first = await requestCompletion({
+      url: fleet.url(0),
+      prompt,
+      maxTokens: SHORT,
+      key: 'p1',
+    });
     assert.equal(first.status, 422, JSON.stringify(first.problem));
     await concurrent.closed;
     assert.equal(concurrent.done, true, JSON.stringify(concurrent.problem));
@@ -43,7 +52,12 @@
 
   it('is recognized by its content under another key and through another entry', async () => {
     const prompt = `History with an ${MARKER}`;
-    const again = await askWhole({ url: fleet.url(2), prompt, maxTokens: SHORT, key: 'p2' });
+    const again = await requestCompletion({
+      url: fleet.url(2),
+      prompt,
+      maxTokens: SHORT,
+      key: 'p2',
+    });
     assert.equal(again.status, 422, JSON.stringify(again.problem));
     assert.equal(crashes(), 2);
   });
--- a/packages/daemon/test/outcomes/slow-key-value.test.ts
+++ b/packages/daemon/test/outcomes/slow-key-value.test.ts
@@ -1,7 +1,7 @@
 /** Tests a fleet that starts while the key-value service responds slowly. */
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
-import { askWhole } from '../fixtures/callers.js';
+import { requestCompletion } from '../fixtures/callers.js';
 import { type Fleet, startFleet } from '../fixtures/fleet.js';
 
 const SLOW_MS = 3_000;
@@ -18,7 +18,12 @@
   // no entry ever serves.
   it('serves callers', async () => {
     const prompt = 'History with a late page.';
-    const answer = await askWhole({ url: fleet.url(0), prompt, maxTokens: 4, key: 'slow-1' });
+    const answer = await requestCompletion({
+      url: fleet.url(0),
+      prompt,
+      maxTokens: 4,
+      key: 'slow-1',
+    });
     assert.equal(answer.status, 200, JSON.stringify(answer.problem));
   });
 });
