--- a/packages/promises/test/pages.test.ts
+++ b/packages/promises/test/pages.test.ts
@@ -1,4 +1,4 @@
-/** The pages hold together: every link leads somewhere, and every page of a folder is in its index. */
+/** Tests that every relative link in the documentation resolves and that each folder's index is complete. */
 import assert from 'node:assert/strict';
 import { existsSync, readdirSync, readFileSync } from 'node:fs';
 import { dirname, join } from 'node:path';
--- a/packages/promises/test/steps/filings.ts
+++ b/packages/promises/test/steps/filings.ts
@@ -1,4 +1,4 @@
-/** Steps of developers who file applications that may not be repeated. */
+/** Step definitions for calls of a plain service that must not be repeated. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { DeathPoint } from '@cassiamast/stand-ins';
--- a/packages/promises/test/steps/operators.ts
+++ b/packages/promises/test/steps/operators.ts
@@ -1,39 +1,39 @@
-/** Steps of operators, who only edit the text and watch. */
+/** Step definitions for operators that edit the configuration text. */
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import { readStream } from '../fixtures/caller.js';
+import { streamCompletion } from '../fixtures/caller.js';
 import { fleet, type Scenario } from './world.js';
 import { waitFor } from '../fixtures/wait-for.js';
 
-/** Probes after which "no new work" is believed. */
+/** Number of requests that must all miss a target to show that it gets no new work. */
 const PROBES = 12;
 const PROBE_TOKENS = 4;
-const CONFLICT_CODE = 4;
-const TEXT_FAULTY_CODE = 3;
+const CONFLICT_EXIT_CODE = 4;
+const INVALID_TEXT_EXIT_CODE = 3;
 
 async function shownText(): Promise<{ text: string; version: number }> {
   const { json } = await fleet().command('show');
   return { text: String(json.text), version: Number(json.version) };
 }
 
-/** Replaces the value of a field within one service's part of the text. */
+/** Replaces the value of a field in the section of one service. */
 function withField(text: string, service: string, field: string, value: string): string {
   const start = text.indexOf(`name: ${service}`);
   assert.ok(start >= 0, service);
-  const part = text.slice(start);
-  const changed = part.replace(
+  const section = text.slice(start);
+  const changedSection = section.replace(
     new RegExp(`(\\n {4}${field}: ).*`),
     (_, head: string) => head + value,
   );
-  return text.slice(0, start) + changed;
+  return text.slice(0, start) + changedSection;
 }
 
 async function apply(scenario: Scenario, text: string, version: number): Promise<void> {
   scenario.texts.push(text);
   scenario.versionBefore = version;
   const file = fleet().file(text);
-  const waiting = ['--from-version', String(version), '--wait-s', '30'];
-  scenario.results.push(await fleet().command('apply', file, ...waiting));
+  const flags = ['--from-version', String(version), '--wait-s', '30'];
+  scenario.results.push(await fleet().command('apply', file, ...flags));
 }
 
 When(
@@ -53,16 +53,16 @@
 When(
   'the first changes the priority of {word} to {int} and applies the text',
   async function (this: Scenario, service: string, value: number) {
-    const [seen = ''] = this.texts;
-    await apply(this, withField(seen, service, 'priority', String(value)), this.versionBefore);
+    const [baseText = ''] = this.texts;
+    await apply(this, withField(baseText, service, 'priority', String(value)), this.versionBefore);
   },
 );
 
 When(
   'the second changes the deadline of {word} to {string} and applies the text',
   async function (this: Scenario, service: string, value: string) {
-    const [seen = ''] = this.texts;
-    await apply(this, withField(seen, service, 'deadline', value), this.versionBefore);
+    const [baseText = ''] = this.texts;
+    await apply(this, withField(baseText, service, 'deadline', value), this.versionBefore);
   },
 );
 
@@ -86,7 +86,7 @@
   'the second is refused, and is shown that {string} was changed',
   function (this: Scenario, field: string) {
     const result = this.results.at(-1);
-    assert.equal(result?.code, CONFLICT_CODE, JSON.stringify(result?.json));
+    assert.equal(result?.code, CONFLICT_EXIT_CODE, JSON.stringify(result?.json));
     const { data } = result.json.error as { data: { othersChanged: { field: string }[] } };
     assert.deepEqual(
       data.othersChanged.map((difference) => difference.field),
@@ -105,7 +105,7 @@
   'the text is refused with a fault {string} at its line',
   function (this: Scenario, name: string) {
     const result = this.results.at(-1);
-    assert.equal(result?.code, TEXT_FAULTY_CODE);
+    assert.equal(result?.code, INVALID_TEXT_EXIT_CODE);
     const { data } = result.json.error as { data: { faults: { name: string; line: number }[] } };
     const lines = (this.texts.at(-1) ?? '').split('\n');
     const [fault] = data.faults;
@@ -140,19 +140,19 @@
 
 let probes = 0;
 
-/** Sends a request of its own and tells whether the engine ran it. */
+/** Sends a new request and returns whether the engine ran it. */
 async function reachesEngine(engine: number): Promise<boolean> {
   probes += 1;
   const prompt = `Probe ${String(probes)} of the withdrawn target.`;
-  const ask = { prompt, maxTokens: PROBE_TOKENS, key: `probe-${String(probes)}` };
-  const reading = readStream(fleet().url(1 + (probes % fleet().entries.length)), ask);
-  await reading.closed;
-  assert.equal(reading.done, true, JSON.stringify(reading.problem));
+  const completion = { prompt, maxTokens: PROBE_TOKENS, key: `probe-${String(probes)}` };
+  const stream = streamCompletion(fleet().url(1 + (probes % fleet().entries.length)), completion);
+  await stream.closed;
+  assert.equal(stream.done, true, JSON.stringify(stream.problem));
   return (fleet().engines[engine]?.runsOf(prompt) ?? 0) > 0;
 }
 
 Then('the withdrawn target gets no new work', async function (this: Scenario) {
-  // `apply --wait-s` has seen the edit in force everywhere: from here on not one may arrive.
+  // `apply --wait-s` returned after all processes applied the edit, so no request may arrive any more.
   for (let probe = 0; probe < PROBES; probe += 1) {
     assert.equal(await reachesEngine(this.engine), false);
   }
--- a/packages/promises/test/steps/time-line.ts
+++ b/packages/promises/test/steps/time-line.ts
@@ -1,9 +1,9 @@
-/** Steps of those who ask what happened. */
+/** Step definitions that check the time line of events. */
 import assert from 'node:assert/strict';
 import { type DataTable, Then, When } from '@cucumber/cucumber';
 import type { TimelineEvent, UnreachableProcess } from '@cassiamast/coordination';
 import { waitFor } from '../fixtures/wait-for.js';
-import { ownAsk } from './answers.js';
+import { scenarioCompletion } from './answers.js';
 import { fleet, type Scenario } from './world.js';
 
 async function timeline(...filters: string[]): Promise<{
@@ -17,8 +17,8 @@
   };
 }
 
-/** Whether the kinds come in this order, with others between them. */
-function tellsInOrder(events: readonly TimelineEvent[], kinds: readonly string[]): boolean {
+/** Returns whether the kinds occur in this order; other events may occur in between. */
+function containsKindsInOrder(events: readonly TimelineEvent[], kinds: readonly string[]): boolean {
   let next = 0;
   for (const { kind } of events) if (kind === kinds[next]) next += 1;
   return next === kinds.length;
@@ -28,8 +28,10 @@
   'the time line of the request tells, in this order',
   async function (this: Scenario, table: DataTable) {
     const kinds = table.raw().map(([kind = '']) => kind);
-    const { key } = ownAsk(this);
-    await waitFor(async () => tellsInOrder((await timeline('--request', key)).events, kinds));
+    const { key } = scenarioCompletion(this);
+    await waitFor(async () =>
+      containsKindsInOrder((await timeline('--request', key)).events, kinds),
+    );
   },
 );
 
--- a/packages/promises/test/steps/world.ts
+++ b/packages/promises/test/steps/world.ts
@@ -1,4 +1,4 @@
-/** The fleet that all scenarios share, and what one scenario remembers. */
+/** Holds the fleet that all scenarios share and the state of each scenario. */
 import {
   After,
   AfterAll,
@@ -7,31 +7,31 @@
   setWorldConstructor,
   World,
 } from '@cucumber/cucumber';
-import type { Ask, Reading, Receipt } from '../fixtures/caller.js';
+import type { CompletionOptions, CompletionStream, Receipt } from '../fixtures/caller.js';
 import type { CommandResult } from '../fixtures/command-line.js';
 import { type Fleet, type FleetProcess, start, startFleet } from '../fixtures/fleet.js';
 
-/** Only ends a step that hangs. */
+/** Ends a step that hangs. */
 const STEP_TIMEOUT_MS = 90_000;
 
-let shared: Fleet | null = null;
-let scenarios = 0;
+let sharedFleet: Fleet | null = null;
+let scenarioCount = 0;
 
-/** The shared fleet. */
+/** Returns the shared fleet. */
 export function fleet(): Fleet {
-  if (shared === null) throw new RangeError('the fleet is not running');
-  return shared;
+  if (sharedFleet === null) throw new RangeError('the fleet is not running');
+  return sharedFleet;
 }
 
-/** What one scenario remembers between its steps. */
+/** State that a scenario keeps between its steps. */
 export class Scenario extends World {
-  /** Sets this scenario's prompts, keys and filings apart from all others'. */
-  readonly id = String((scenarios += 1));
-  ask: Ask | null = null;
-  readings: Reading[] = [];
+  /** Makes the prompts, keys and filings of this scenario unique. */
+  readonly id = String((scenarioCount += 1));
+  completion: CompletionOptions | null = null;
+  streams: CompletionStream[] = [];
   receipts: Receipt[] = [];
   filing = `filing-${this.id}`;
-  /** Texts as the operators edit them. */
+  /** Configuration texts in the order in which operators edited them. */
   texts: string[] = [];
   results: CommandResult[] = [];
   versionBefore = 0;
@@ -43,11 +43,11 @@
 setWorldConstructor(Scenario);
 
 BeforeAll(async () => {
-  shared = await startFleet();
+  sharedFleet = await startFleet();
 });
 
 AfterAll(async () => {
-  await shared?.stop();
+  await sharedFleet?.stop();
 });
 
 After(async function (this: Scenario) {
