--- a/packages/promises/test/pages.test.ts
+++ b/packages/promises/test/pages.test.ts
@@ -30,7 +30,7 @@
 
 describe('the pages', () => {
   for (const page of PAGES) {
-    it(`${page.slice(ROOT.length)} links only to what is there`, () => {
+    it(`${page.slice(ROOT.length)} links only to existing files`, () => {
       const broken = relativeLinks(page).filter((link) => !existsSync(join(dirname(page), link)));
       assert.deepEqual(broken, []);
     });
