--- a/packages/daemon/test/outcomes/planned-change.test.ts
+++ b/packages/daemon/test/outcomes/planned-change.test.ts
@@ -1,9 +1,12 @@
-/** Planned change cuts no request: shutdown of an entry and of a sidecar, withdrawal, edits. */
+/**
+ * Tests that planned changes abort no request: graceful shutdown of an entry or a sidecar, withdrawal
+ * of a target and edits of the configuration.
+ */
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
 import type { Configuration } from '@cassiamast/coordination';
 import { AnswerVerdict, checkAnswer } from '@cassiamast/stand-ins';
-import { askStream, askWhole } from '../fixtures/callers.js';
+import { streamCompletion, requestCompletion } from '../fixtures/callers.js';
 import { type Fleet, start, startFleet } from '../fixtures/fleet.js';
 import { waitFor } from '../fixtures/wait-for.js';
 
@@ -36,10 +39,10 @@
   });
   after(() => fleet.stop());
 
-  // The platform replaces an entry's VM while inspectors read their findings from it.
-  it('lets an entry that shuts down finish its open answers', async () => {
+  // The VM of an entry is replaced while the entry streams answers to callers.
+  it('lets an entry that shuts down finish its answers in flight', async () => {
     const prompt = 'Finding while the entry shuts down';
-    const answer = askStream({ url: fleet.url(1), prompt, maxTokens: LONG });
+    const answer = streamCompletion({ url: fleet.url(1), prompt, maxTokens: LONG });
     await waitFor(() => answer.text.length > 50);
     const entry = fleet.entries[1];
     assert.ok(entry !== undefined);
@@ -49,10 +52,10 @@
     entry.running = await start(entry.settings);
   });
 
-  // The process beside an engine is updated while the engine writes.
+  // The sidecar of an engine is updated while the engine decodes.
   it('lets a sidecar that shuts down finish its attempts', async () => {
     const prompt = 'Finding while the sidecar shuts down';
-    const answer = askStream({ url: fleet.url(0), prompt, maxTokens: LONG });
+    const answer = streamCompletion({ url: fleet.url(0), prompt, maxTokens: LONG });
     await waitFor(() => answer.text.length > 50);
     const index = fleet.engines.findIndex((engine) => engine.runsOf(prompt) > 0);
     const sidecar = fleet.sidecars[index];
@@ -63,10 +66,11 @@
     sidecar.running = await start(sidecar.settings);
   });
 
-  // An operator withdraws a target in the text: its running work ends, nothing new goes there.
-  it('gives a withdrawn target no new work and cuts none', async () => {
+  // An operator withdraws a target in the configuration: its running requests finish, and it gets no
+  // new ones.
+  it('gives a withdrawn target no new work and aborts none', async () => {
     const prompt = 'Finding while its target is withdrawn';
-    const answer = askStream({ url: fleet.url(0), prompt, maxTokens: LONG });
+    const answer = streamCompletion({ url: fleet.url(0), prompt, maxTokens: LONG });
     await waitFor(() => answer.text.length > 50);
     const index = fleet.engines.findIndex((engine) => engine.runsOf(prompt) > 0);
     const before = fleet.configuration();
@@ -75,22 +79,23 @@
     assert.equal(answer.done, true, JSON.stringify(answer.problem));
     await waitFor(async () => {
       const probe = `probe ${String(Math.floor(performance.now()))}`;
-      await askWhole({ url: fleet.url(0), prompt: probe, maxTokens: SHORT });
+      await requestCompletion({ url: fleet.url(0), prompt: probe, maxTokens: SHORT });
       return fleet.engines[index]?.runsOf(probe) === 0;
     });
     for (let request = 0; request < 20; request += 1) {
       const prompt = `after withdrawal ${String(request)}`;
-      const whole = await askWhole({ url: fleet.url(0), prompt, maxTokens: SHORT });
+      const whole = await requestCompletion({ url: fleet.url(0), prompt, maxTokens: SHORT });
       assert.equal(whole.status, 200);
       assert.equal(fleet.engines[index]?.runsOf(prompt), 0);
     }
     await fleet.apply(before);
   });
 
-  // Guards against an edit that cuts what runs at a target, and takes the cut for a crash.
-  it('lets what runs at a target end that is taken out of the text', async () => {
+  // Removing a target from the configuration must not abort its running requests. An aborted request
+  // would also be counted as a crash.
+  it('lets the requests of a target finish after its removal from the configuration', async () => {
     const prompt = 'Finding while its target is taken out of the text';
-    const answer = askStream({ url: fleet.url(0), prompt, maxTokens: LONG });
+    const answer = streamCompletion({ url: fleet.url(0), prompt, maxTokens: LONG });
     await waitFor(() => answer.text.length > 50);
     const index = fleet.engines.findIndex((engine) => engine.runsOf(prompt) > 0);
     const before = fleet.configuration();
--- a/packages/promises/test/pages.test.ts
+++ b/packages/promises/test/pages.test.ts
@@ -1,4 +1,4 @@
-/** The pages hold together: every link leads somewhere, and every page of a folder is in its index. */
+/** Tests that every relative link in the documentation resolves and that each folder's index is complete. */
 import assert from 'node:assert/strict';
 import { existsSync, readdirSync, readFileSync } from 'node:fs';
 import { dirname, join } from 'node:path';
@@ -30,7 +30,7 @@
 
 describe('the pages', () => {
   for (const page of PAGES) {
-    it(`${page.slice(ROOT.length)} links only to what is there`, () => {
+    it(`${page.slice(ROOT.length)} links only to existing files`, () => {
       const broken = relativeLinks(page).filter((link) => !existsSync(join(dirname(page), link)));
       assert.deepEqual(broken, []);
     });
