--- a/packages/coordination/src/core/rate-limits/announced-limits.ts
+++ b/packages/coordination/src/core/rate-limits/announced-limits.ts
@@ -47,7 +47,7 @@
   readonly sinceMs: number;
 }
 
-/** A {@link AnnouncedLimit} as reported to another gateway: ages replace times, as clocks differ. */
+/** An {@link AnnouncedLimit} as reported to another gateway: ages replace times, as clocks differ. */
 export interface LimitReport {
   readonly target: string;
   readonly service: string;
