--- a/packages/daemon/src/entry/caller-server.ts
+++ b/packages/daemon/src/entry/caller-server.ts
@@ -59,7 +59,7 @@
   readonly isLeaving: () => boolean;
   readonly makeKey: () => string;
   /** Called when a request is rejected before its body is read, with its key if it has one. */
-  readonly onTurnedAway: (idempotencyKey: string | null, reason: string) => void;
+  readonly onRejected: (idempotencyKey: string | null, reason: string) => void;
   readonly onModelRequest: (request: ModelRequest, response: ServerResponse) => void;
   readonly onPlainCall: (call: PlainCall, response: ServerResponse) => void;
 }
@@ -147,7 +147,7 @@
   if (configuration === null || reason !== null) {
     const failure = ENTRY_NOT_SERVING.of({ reason: reason ?? '' });
     const isKeyed = request.headers['idempotency-key'] !== undefined;
-    options.onTurnedAway(readIdempotencyKey(request.headers) ?? null, failure.message);
+    options.onRejected(readIdempotencyKey(request.headers) ?? null, failure.message);
     sendProblem(response, refuseWithoutLookup(failure, 503, OTHER_ENTRY_RETRY_AFTER_MS, isKeyed));
     return null;
   }
--- a/packages/daemon/src/entry/claim-driver.ts
+++ b/packages/daemon/src/entry/claim-driver.ts
@@ -9,12 +9,12 @@
   type ClaimReply,
   type ClaimRequest,
   DEFAULT_CLAIM_CLIENT_OPTIONS,
-  askClaim,
+  requestClaim,
   createClaimClient,
   onClaimReply,
   tickClaimClient,
 } from '@cassiamast/coordination';
-import type { TakeClaim } from '../node/claim-aggregator-driver.js';
+import type { SubmitClaim } from '../node/claim-aggregator-driver.js';
 import type { RpcClient } from '../node/rpc-client.js';
 import { createPeriodic } from '../node/timers.js';
 import { RpcMethod } from '../protocol/methods.js';
@@ -29,7 +29,7 @@
   readonly rpc: RpcClient;
   readonly aggregatorOf: (keyText: string) => string | null;
   /** Takes a claim at the local aggregator, for keys that this member aggregates itself. */
-  readonly takeLocally: TakeClaim;
+  readonly takeLocally: SubmitClaim;
 }
 
 /** Takes claims for the requests of one entry. */
@@ -80,7 +80,7 @@
       lastCallNumber += 1;
       const callId = String(lastCallNumber);
       replyHandlers.set(callId, onReply);
-      perform(askClaim(state, callId, request, context()));
+      perform(requestClaim(state, callId, request, context()));
     },
     child: createPeriodic(
       'claims',
--- a/packages/daemon/src/entry/contacts.ts
+++ b/packages/daemon/src/entry/contacts.ts
@@ -48,7 +48,9 @@
         // A member that is back after a failure may have lost its records, so its contact time
         // starts again.
         seenSinceMs: known === undefined || isOutOfContact(member) ? nowMs : known.seenSinceMs,
-        lastAwayAtMs: isOutOfContact(member) ? nowMs : (known?.lastAwayAtMs ?? null),
+        lastOutOfContactAtMs: isOutOfContact(member)
+          ? nowMs
+          : (known?.lastOutOfContactAtMs ?? null),
       });
       const oldest = contacts.keys().next().value;
       if (contacts.size > MAX_CONTACTS && oldest !== undefined) contacts.delete(oldest);
--- a/packages/daemon/src/entry/entry-figures.ts
+++ b/packages/daemon/src/entry/entry-figures.ts
@@ -1,7 +1,7 @@
 /** Counts an entry's answers per service, for the operators' monitoring and the benchmark. */
 import {
   type AnswerEnding,
-  type DriveRequest,
+  type CallerRequest,
   type GoalsSpec,
   type GoodputStatus,
   type MixStatus,
@@ -20,20 +20,20 @@
 }
 
 /** Counters of one entry. */
-export interface EntryFigures {
+export interface EntryCounters {
   readonly answered: (
-    request: DriveRequest,
+    request: CallerRequest,
     latency: LatencyMeasurements,
     ending: AnswerEnding,
     goals: GoalsSpec,
   ) => void;
-  readonly refused: (request: DriveRequest, runState: RunState) => void;
+  readonly refused: (request: CallerRequest, runState: RunState) => void;
   readonly goodput: (service: string) => GoodputStatus;
   readonly mix: (service: string) => MixStatus;
 }
 
 /** Creates counters that start at zero. */
-export function createEntryFigures(telemetry: Telemetry): EntryFigures {
+export function createEntryCounters(telemetry: Telemetry): EntryCounters {
   const services = new Map<string, ServiceCounters>();
 
   function countersOf(service: string): ServiceCounters {
--- a/packages/daemon/src/entry/entry-status.ts
+++ b/packages/daemon/src/entry/entry-status.ts
@@ -12,7 +12,7 @@
   type Member,
 } from '@cassiamast/coordination';
 import { formatAddress } from '../node/address.js';
-import type { EntryFigures } from './entry-figures.js';
+import type { EntryCounters } from './entry-figures.js';
 import type { Policies } from './policies.js';
 import type { TargetDirectory } from './target-directory.js';
 
@@ -22,7 +22,7 @@
   readonly services: () => readonly ServiceSpec[];
   readonly directory: TargetDirectory;
   readonly policies: Policies;
-  readonly figures: EntryFigures;
+  readonly figures: EntryCounters;
   readonly findMember: (memberId: string) => Member | undefined;
   readonly selfId: string;
   readonly authorityOf: (service: string) => { readonly fence: number } | null;
--- a/packages/daemon/src/entry/policies.ts
+++ b/packages/daemon/src/entry/policies.ts
@@ -40,7 +40,7 @@
 export interface Policies {
   readonly of: (service: string) => ServicePolicy;
   readonly models: () => ReadonlyMap<string, ModelPolicy>;
-  readonly noteLoad: (report: LoadReport) => void;
+  readonly acceptLoadReport: (report: LoadReport) => void;
   /** Must be called when the configuration, a member or the VM list changes. */
   readonly refresh: () => void;
   readonly pump: () => void;
@@ -128,8 +128,8 @@
       plainPolicies.get(service) ??
       REMOVED_SERVICE_POLICY,
     models: () => models,
-    noteLoad: (report) => {
-      for (const policy of models.values()) policy.noteLoad(report);
+    acceptLoadReport: (report) => {
+      for (const policy of models.values()) policy.acceptLoadReport(report);
     },
     refresh,
     shed: (pressure) => {
--- a/packages/daemon/src/entry/request-run.ts
+++ b/packages/daemon/src/entry/request-run.ts
@@ -8,19 +8,19 @@
   type CancelOutcome,
   ClaimOutcome,
   ClaimReplyKind,
-  type DriveContext,
-  type DriveEffect,
-  DriveEffectKind,
-  type DriveEvent,
-  DriveEventKind,
-  DrivePhase,
-  type DriveRequest,
+  type RequestContext,
+  type RequestEffect,
+  RequestEffectKind,
+  type RequestEvent,
+  RequestEventKind,
+  RequestPhase,
+  type CallerRequest,
   type LoneRunEnd,
   LoneRunOutcome,
   PoisonWorkKind,
-  type RequestDrive,
-  createDrive,
-  handleDriveEvent,
+  type RequestMachine,
+  createRequestMachine,
+  handleRequestEvent,
 } from '@cassiamast/coordination';
 import type { LoneRunReply } from '../node/poison-driver.js';
 import { RpcMethod } from '../protocol/methods.js';
@@ -39,7 +39,7 @@
 /** Options of a request run. */
 export interface RunOptions {
   readonly id: string;
-  readonly request: DriveRequest;
+  readonly request: CallerRequest;
   readonly payload: Payload;
   readonly keyIsFresh: boolean;
   readonly prompt: string;
@@ -53,9 +53,9 @@
 
 /** A request in progress. */
 export interface RequestRun {
-  readonly machine: RequestDrive;
+  readonly machine: RequestMachine;
   readonly start: () => void;
-  readonly handle: (event: DriveEvent) => void;
+  readonly handle: (event: RequestEvent) => void;
   readonly loneRunReplied: (reply: LoneRunReply) => void;
   /** Resumes reading after the caller's connection has drained. */
   readonly resume: () => void;
@@ -65,7 +65,7 @@
 export function createRequestRun(options: RunOptions): RequestRun {
   const { services, request, answer } = options;
   const startedAtMs = services.nowMs();
-  const machine = createDrive(options.id, request, startedAtMs);
+  const machine = createRequestMachine(options.id, request, startedAtMs);
   const timers = new Set<NodeJS.Timeout>();
   const latencyMeter = createLatencyMeter(startedAtMs);
   let grant: Grant | null = null;
@@ -80,22 +80,22 @@
     remainingMs: () => machine.deadlineAtMs - services.nowMs(),
     reader: () => grant?.reader ?? null,
     onEvent: (event) => {
-      if (event.kind === DriveEventKind.StreamFailed && isTargetFault(event.failure.reason)) {
+      if (event.kind === RequestEventKind.StreamFailed && isTargetFault(event.failure.reason)) {
         recordAttemptEnd(false, true);
       }
       handle(event);
     },
   });
 
-  function handle(event: DriveEvent): void {
+  function handle(event: RequestEvent): void {
     if (isDone) return;
-    const effects = handleDriveEvent(machine, event, context());
+    const effects = handleRequestEvent(machine, event, context());
     for (const effect of effects) perform(effect);
-    if (machine.phase === DrivePhase.Done) finish();
+    if (machine.phase === RequestPhase.Done) finish();
   }
 
-  function context(): DriveContext {
-    return services.driveContext(request, options.keyIsFresh);
+  function context(): RequestContext {
+    return services.requestContext(request, options.keyIsFresh);
   }
 
   function finish(): void {
@@ -106,76 +106,76 @@
     options.onDone();
   }
 
-  function perform(effect: DriveEffect): void {
+  function perform(effect: RequestEffect): void {
     switch (effect.kind) {
-      case DriveEffectKind.CallHolder:
+      case RequestEffectKind.CallHolder:
         void callHolder(effect);
         return;
-      case DriveEffectKind.AskAdmission:
+      case RequestEffectKind.AskAdmission:
         requestAdmission(effect.askId, effect.avoidTargets);
         return;
-      case DriveEffectKind.AskLoneRun:
+      case RequestEffectKind.AskLoneRun:
         void requestLoneRun(effect.askId, effect.attemptId);
         return;
-      case DriveEffectKind.SettleLoneRun:
+      case RequestEffectKind.SettleLoneRun:
         settleLoneRun(effect.attemptId, effect.end);
         return;
-      case DriveEffectKind.NoteCrash:
+      case RequestEffectKind.NoteCrash:
         services.poison.noteCrash(request.bodyHash, effect.attemptId);
         return;
-      case DriveEffectKind.OpenSession:
+      case RequestEffectKind.OpenSession:
         void openSession(effect.askId, effect.sidecar, effect.verify);
         return;
-      case DriveEffectKind.ForgetSession:
+      case RequestEffectKind.ForgetSession:
         services.sessions.discard(effect.sidecar);
         return;
-      case DriveEffectKind.TakeClaim:
+      case RequestEffectKind.TakeClaim:
         takeClaim(effect);
         return;
-      case DriveEffectKind.Dispatch:
-      case DriveEffectKind.Attach:
+      case RequestEffectKind.Dispatch:
+      case RequestEffectKind.Attach:
         stream.open(effect);
         return;
-      case DriveEffectKind.CloseStream:
+      case RequestEffectKind.CloseStream:
         stream.closeIf(effect.connectionId);
         return;
-      case DriveEffectKind.CancelAttempt:
+      case RequestEffectKind.CancelAttempt:
         void cancelAttempt(effect.attempt);
         return;
-      case DriveEffectKind.TellTokens:
+      case RequestEffectKind.TellTokens:
         latencyMeter.tokens(services.nowMs(), effect.tokens.length);
         firstTokenAtMs ??= services.nowMs();
         services.telemetry.count('tokens_relayed_total', effect.tokens.length);
         if (!answer.tokens(effect.tokens, effect.eventId)) stream.pause();
         return;
-      case DriveEffectKind.TellAnswer:
+      case RequestEffectKind.TellAnswer:
         answer.finish(effect.ending, machine.tokens.length, effect.eventId);
-        services.noteAnswered(request, latencyMeter.figures(), effect.ending, options.goals);
+        services.recordAnswer(request, latencyMeter.figures(), effect.ending, options.goals);
         recordAttemptEnd(true, false);
         return;
-      case DriveEffectKind.TellRefusal: {
+      case RequestEffectKind.TellRefusal: {
         const { failure, runState, retryAfterMs } = effect;
         answer.refuse(toRefusal(failure, runState, retryAfterMs));
-        services.noteRefused(request, runState);
+        services.recordRefusal(request, runState);
         return;
       }
-      case DriveEffectKind.SetTimer:
+      case RequestEffectKind.SetTimer:
         setTimer(effect);
         return;
-      case DriveEffectKind.Emit:
+      case RequestEffectKind.Emit:
         services.telemetry.emit(effect.event);
     }
   }
 
   async function callHolder(
-    effect: Extract<DriveEffect, { kind: DriveEffectKind.CallHolder }>,
+    effect: Extract<RequestEffect, { kind: RequestEffectKind.CallHolder }>,
   ): Promise<void> {
     const { to, roundId } = effect;
     const reply = await services.callHolder(to, effect.call);
     handle(
-      reply.match<DriveEvent>(
-        (value) => ({ kind: DriveEventKind.HolderReplied, roundId, from: to, reply: value }),
-        () => ({ kind: DriveEventKind.HolderFailed, roundId, from: to }),
+      reply.match<RequestEvent>(
+        (value) => ({ kind: RequestEventKind.HolderReplied, roundId, from: to, reply: value }),
+        () => ({ kind: RequestEventKind.HolderFailed, roundId, from: to }),
       ),
     );
   }
@@ -191,10 +191,10 @@
       onGrant: (granted) => {
         grant = granted;
         grantedAtMs = services.nowMs();
-        handle({ kind: DriveEventKind.Admitted, askId, place: granted.place });
+        handle({ kind: RequestEventKind.Admitted, askId, place: granted.place });
       },
       onRefusal: (reason, retryAfterMs) => {
-        handle({ kind: DriveEventKind.AdmissionRefused, askId, reason, retryAfterMs });
+        handle({ kind: RequestEventKind.AdmissionRefused, askId, reason, retryAfterMs });
       },
     });
   }
@@ -211,8 +211,8 @@
       return;
     }
     const sidecarIncarnation = incarnationOf(session.value.sessionId);
-    services.poison.ask(loneRunId(askId), {
-      kind: PoisonWorkKind.AskLoneRun,
+    services.poison.submitWork(loneRunId(askId), {
+      kind: PoisonWorkKind.RequestLoneRun,
       service: request.service,
       bodyHash: request.bodyHash,
       attemptId,
@@ -225,7 +225,7 @@
     const outcome = LoneRunOutcome.Later;
     const retryAfterMs = context().options.retryAfterMs;
     handle({
-      kind: DriveEventKind.LoneRunReplied,
+      kind: RequestEventKind.LoneRunReplied,
       askId,
       outcome,
       place: null,
@@ -240,7 +240,7 @@
   }
 
   function settleLoneRun(attemptId: string, end: LoneRunEnd): void {
-    services.poison.ask(`${attemptId}|settle`, {
+    services.poison.submitWork(`${attemptId}|settle`, {
       kind: PoisonWorkKind.Settle,
       service: request.service,
       bodyHash: request.bodyHash,
@@ -252,24 +252,24 @@
   async function openSession(askId: number, sidecar: string, verify: boolean): Promise<void> {
     const opened = await services.sessions.open(sidecar, verify);
     handle(
-      opened.match<DriveEvent>(
+      opened.match<RequestEvent>(
         ({ sessionId, sequence }) => ({
-          kind: DriveEventKind.SessionOpened,
+          kind: RequestEventKind.SessionOpened,
           askId,
           sessionId,
           sequence,
         }),
-        () => ({ kind: DriveEventKind.SessionFailed, askId }),
+        () => ({ kind: RequestEventKind.SessionFailed, askId }),
       ),
     );
   }
 
-  function takeClaim(effect: Extract<DriveEffect, { kind: DriveEffectKind.TakeClaim }>): void {
+  function takeClaim(effect: Extract<RequestEffect, { kind: RequestEffectKind.TakeClaim }>): void {
     const { askId, attempt, replacesId } = effect;
     const { keyText, bodyHash } = request;
     services.claims.take({ keyText, bodyHash, attempt, replacesId }, (reply) => {
       handle({
-        kind: DriveEventKind.ClaimReplied,
+        kind: RequestEventKind.ClaimReplied,
         askId,
         outcome: CLAIM_OUTCOMES[reply.kind],
         holder: reply.holder,
@@ -288,14 +288,14 @@
     // Without a reply, the timer of the state machine decides.
     if (cancelReply.isErr()) return;
     const outcome = cancelReply.value;
-    handle({ kind: DriveEventKind.CancelReplied, attemptId: attempt.id, outcome });
+    handle({ kind: RequestEventKind.CancelReplied, attemptId: attempt.id, outcome });
   }
 
-  function setTimer(effect: Extract<DriveEffect, { kind: DriveEffectKind.SetTimer }>): void {
+  function setTimer(effect: Extract<RequestEffect, { kind: RequestEffectKind.SetTimer }>): void {
     const { timer, timerId } = effect;
     const timerHandle = setTimeout(() => {
       timers.delete(timerHandle);
-      handle({ kind: DriveEventKind.TimerFired, timer, timerId });
+      handle({ kind: RequestEventKind.TimerFired, timer, timerId });
     }, effect.afterMs);
     timers.add(timerHandle);
   }
@@ -320,13 +320,13 @@
     machine,
     handle,
     start: () => {
-      handle({ kind: DriveEventKind.CallerArrived });
+      handle({ kind: RequestEventKind.CallerArrived });
     },
     loneRunReplied: (reply) => {
       const askId = Number(reply.id.slice(reply.id.lastIndexOf('|') + 1));
       const { outcome, place, sidecarIncarnation, crashes, retryAfterMs } = reply;
       handle({
-        kind: DriveEventKind.LoneRunReplied,
+        kind: RequestEventKind.LoneRunReplied,
         askId,
         outcome,
         place,
--- a/packages/daemon/src/entry/requests.ts
+++ b/packages/daemon/src/entry/requests.ts
@@ -6,8 +6,8 @@
 import type { ServerResponse } from 'node:http';
 import {
   type Configuration,
-  type DriveEvent,
-  DriveEventKind,
+  type RequestEvent,
+  RequestEventKind,
   type GoalsSpec,
   requestKeyText,
 } from '@cassiamast/coordination';
@@ -23,7 +23,7 @@
 import type { RunServices } from './run-services.js';
 
 /** Each takes at most about 20 KB, so 8,192 open answers stay under 160 MB. */
-export const MAX_RUNS = 8_192;
+export const MAX_ACTIVE_REQUESTS = 8_192;
 
 const BUSY_RETRY_AFTER_MS = 1_000;
 const MS_PER_S = 1_000;
@@ -59,8 +59,8 @@
     keyFromCaller: boolean,
     createOptions: (run: () => RequestRun | null) => NewRun,
   ): void {
-    if (runs.size >= MAX_RUNS) {
-      const failure = ENTRY_BUSY.of({ limit: MAX_RUNS });
+    if (runs.size >= MAX_ACTIVE_REQUESTS) {
+      const failure = ENTRY_BUSY.of({ limit: MAX_ACTIVE_REQUESTS });
       sendProblem(response, refuseWithoutLookup(failure, 503, BUSY_RETRY_AFTER_MS, keyFromCaller));
       return;
     }
@@ -70,12 +70,12 @@
     const run = createRequestRun({ ...runOptions, id, services, onDone: () => runs.delete(id) });
     runs.set(id, run);
     response.on('close', () => {
-      run.handle({ kind: DriveEventKind.CallerGone });
+      run.handle({ kind: RequestEventKind.CallerGone });
     });
     run.start();
   }
 
-  function broadcast(event: DriveEvent): void {
+  function broadcast(event: RequestEvent): void {
     for (const run of [...runs.values()]) run.handle(event);
   }
 
@@ -98,7 +98,7 @@
       runs.get(reply.id.slice(0, reply.id.lastIndexOf('|')))?.loneRunReplied(reply);
     },
     membersChanged: () => {
-      broadcast({ kind: DriveEventKind.MembersChanged });
+      broadcast({ kind: RequestEventKind.MembersChanged });
     },
     count: () => runs.size,
   };
--- a/packages/daemon/src/entry/run-services.ts
+++ b/packages/daemon/src/entry/run-services.ts
@@ -1,5 +1,10 @@
 /** The drivers and recorders that all requests of an entry share. */
-import type { AnswerEnding, DriveContext, DriveRequest, RunState } from '@cassiamast/coordination';
+import type {
+  AnswerEnding,
+  RequestContext,
+  CallerRequest,
+  RunState,
+} from '@cassiamast/coordination';
 import type { CallHolder } from '../node/holder-driver.js';
 import type { PoisonDriver } from '../node/poison-driver.js';
 import type { RpcClient } from '../node/rpc-client.js';
@@ -20,14 +25,14 @@
   readonly callHolder: CallHolder;
   readonly policyOf: (service: string) => ServicePolicy;
   /** Applies a load report that arrived with a stream; malformed reports are ignored. */
-  readonly noteLoad: (params: unknown) => void;
+  readonly acceptLoadReport: (params: unknown) => void;
   /** `keyIsFresh`: this entry generated the key, so no earlier submission of the request exists. */
-  readonly driveContext: (request: DriveRequest, keyIsFresh: boolean) => DriveContext;
-  readonly noteAnswered: (
-    request: DriveRequest,
+  readonly requestContext: (request: CallerRequest, keyIsFresh: boolean) => RequestContext;
+  readonly recordAnswer: (
+    request: CallerRequest,
     latency: LatencyMeasurements,
     ending: AnswerEnding,
     goals: { readonly firstTokenMs: number; readonly interTokenMs: number },
   ) => void;
-  readonly noteRefused: (request: DriveRequest, runState: RunState) => void;
+  readonly recordRefusal: (request: CallerRequest, runState: RunState) => void;
 }
--- a/packages/daemon/src/entry/run-stream.ts
+++ b/packages/daemon/src/entry/run-stream.ts
@@ -4,13 +4,13 @@
  * notifications become events of the request state machine.
  */
 import {
-  type DriveEffect,
-  DriveEffectKind,
-  type DriveEvent,
-  DriveEventKind,
-  type DriveRequest,
+  type RequestEffect,
+  RequestEffectKind,
+  type RequestEvent,
+  RequestEventKind,
+  type CallerRequest,
   StreamFailureReason,
-  passOnBudget,
+  deriveInnerBudget,
 } from '@cassiamast/coordination';
 import type { MemberStream, MemberStreamHandlers } from '../node/rpc-client.js';
 import { RpcMethod } from '../protocol/methods.js';
@@ -18,7 +18,7 @@
   type Payload,
   PayloadKind,
   type PlainPayload,
-  type PrefillPlace,
+  type PrefillLocation,
   type StreamOutcome,
   StreamOutcomeKind,
   type StreamTokensParams,
@@ -29,31 +29,31 @@
 
 /** Events that a stream emits. */
 type StreamEvent = Extract<
-  DriveEvent,
+  RequestEvent,
   {
     kind:
-      | DriveEventKind.StreamOpened
-      | DriveEventKind.StreamTokens
-      | DriveEventKind.StreamEnded
-      | DriveEventKind.StreamFailed;
+      | RequestEventKind.StreamOpened
+      | RequestEventKind.StreamTokens
+      | RequestEventKind.StreamEnded
+      | RequestEventKind.StreamFailed;
   }
 >;
 
 /** Options of a stream. */
 export interface RunStreamOptions {
   readonly services: RunServices;
-  readonly request: DriveRequest;
+  readonly request: CallerRequest;
   readonly payload: Payload;
   readonly remainingMs: () => number;
   /** Returns the prefill engine of the current attempt, or null. */
-  readonly reader: () => PrefillPlace | null;
+  readonly reader: () => PrefillLocation | null;
   readonly onEvent: (event: StreamEvent) => void;
 }
 
 /** The stream of one request. */
 export interface RunStream {
   readonly open: (
-    effect: Extract<DriveEffect, { kind: DriveEffectKind.Dispatch | DriveEffectKind.Attach }>,
+    effect: Extract<RequestEffect, { kind: RequestEffectKind.Dispatch | RequestEffectKind.Attach }>,
   ) => void;
   /** Closes the stream if it belongs to this connection. */
   readonly closeIf: (connectionId: number) => void;
@@ -92,26 +92,26 @@
     return {
       onNotification: (method, params) => {
         if (method === (RpcMethod.StreamOpened as string)) {
-          services.noteLoad(params);
-          options.onEvent({ kind: DriveEventKind.StreamOpened, connectionId });
+          services.acceptLoadReport(params);
+          options.onEvent({ kind: RequestEventKind.StreamOpened, connectionId });
           return;
         }
         const { index, tokens } = params as StreamTokensParams;
-        options.onEvent({ kind: DriveEventKind.StreamTokens, connectionId, index, tokens });
+        options.onEvent({ kind: RequestEventKind.StreamTokens, connectionId, index, tokens });
       },
       onResult: (result) => {
         const outcome = result as StreamOutcome;
         if (outcome.kind === StreamOutcomeKind.Ended) {
           const { end } = outcome;
-          options.onEvent({ kind: DriveEventKind.StreamEnded, connectionId, end });
+          options.onEvent({ kind: RequestEventKind.StreamEnded, connectionId, end });
           return;
         }
         const { failure } = outcome;
-        options.onEvent({ kind: DriveEventKind.StreamFailed, connectionId, failure });
+        options.onEvent({ kind: RequestEventKind.StreamFailed, connectionId, failure });
       },
       onFailure: () => {
         const failure = CONNECTION_LOST;
-        options.onEvent({ kind: DriveEventKind.StreamFailed, connectionId, failure });
+        options.onEvent({ kind: RequestEventKind.StreamFailed, connectionId, failure });
       },
     };
   }
@@ -119,7 +119,7 @@
   return {
     open: (effect) => {
       const { connectionId, attempt, record } = effect;
-      const isDispatch = effect.kind === DriveEffectKind.Dispatch;
+      const isDispatch = effect.kind === RequestEffectKind.Dispatch;
       const method = isDispatch ? RpcMethod.StreamOpen : RpcMethod.StreamAttach;
       const { continueFrom, remainingMs } = isDispatch ? effect : NO_DISPATCH_FIELDS;
       const params = isDispatch
@@ -155,7 +155,7 @@
  * calls completes before its caller's deadline.
  */
 function withDeadline(payload: PlainPayload, remainingMs: number): PlainPayload {
-  const forwardedBudget = passOnBudget({ remainingMs, retriesLeft: 0 }, 0);
+  const forwardedBudget = deriveInnerBudget({ remainingMs, retriesLeft: 0 }, 0);
   if (forwardedBudget === null) return payload;
   const waitS = Math.max(1, Math.floor(forwardedBudget.remainingMs / MS_PER_S));
   return { ...payload, headers: { ...payload.headers, prefer: `wait=${String(waitS)}` } };
--- a/packages/daemon/src/entry/service-policy.ts
+++ b/packages/daemon/src/entry/service-policy.ts
@@ -3,13 +3,13 @@
  * request. The result arrives immediately or when the request reaches the head of the fair queue.
  */
 import type { Place } from '@cassiamast/coordination';
-import type { PrefillPlace } from '../protocol/stream.js';
+import type { PrefillLocation } from '../protocol/stream.js';
 
 /** The placement granted to an attempt. */
 export interface Grant {
   readonly place: Place;
   /** The prefill engine, when it differs from the decode engine. */
-  readonly reader: PrefillPlace | null;
+  readonly reader: PrefillLocation | null;
   /** Predicted time to first token, used to detect slow targets; null without a prediction. */
   readonly predictedFirstTokenMs: number | null;
 }
--- a/packages/daemon/src/gateway/ask-target.ts
+++ b/packages/daemon/src/gateway/ask-target.ts
@@ -4,13 +4,13 @@
  * outcome distinguishes requests that were never sent, requests that the target declares not to
  * have run, and requests that may have run.
  */
-import type { AskedWork, TargetEntry } from '@cassiamast/coordination';
+import type { RequestedWork, TargetEntry } from '@cassiamast/coordination';
 import type { AnswerHead, CallerWire, HttpStream, HttpTransport } from '@cassiamast/ports';
-import type { StandstillWatch } from '../node/standstill.js';
-import type { TargetPulse } from './target-pulse.js';
+import type { StallWatch } from '../node/standstill.js';
+import type { TargetActivity } from './target-pulse.js';
 
 /** How an attempt to send a request ended. */
-export enum AskOutcomeKind {
+export enum SendOutcomeKind {
   /** The complete answer was received. */
   Complete = 'complete',
   /** No byte of the request reached the target. */
@@ -26,8 +26,8 @@
 }
 
 /** The outcome of one attempt. */
-export interface AskOutcome {
-  readonly kind: AskOutcomeKind;
+export interface SendOutcome {
+  readonly kind: SendOutcomeKind;
   /** Whether any byte of the request left this process. */
   readonly sent: boolean;
   /** Description of the outcome for the log. */
@@ -44,7 +44,7 @@
 export interface TargetRequest {
   readonly attemptId: string | null;
   /** The work that the target is asked to do. */
-  readonly work: AskedWork;
+  readonly work: RequestedWork;
   readonly method: string;
   readonly path: string;
   /** Alternating header names and values. */
@@ -64,7 +64,7 @@
 
 /** The work that a target was asked to do, and the send time on the `elapsedMs` clock. */
 export interface SentRequest {
-  readonly work: AskedWork;
+  readonly work: RequestedWork;
   readonly sentAtMs: number;
 }
 
@@ -72,12 +72,12 @@
 export interface SendServices {
   readonly transport: HttpTransport;
   readonly wire: CallerWire;
-  readonly pulse: TargetPulse;
+  readonly pulse: TargetActivity;
   /** Called with the head of each answer that belongs to its request. */
   readonly onAnswerHead: (target: TargetEntry, head: AnswerHead, request: SentRequest) => void;
   /** Monotonic time that also advances while this process is suspended. */
   readonly elapsedMs: () => number;
-  readonly standstill: Pick<StandstillWatch, 'catchUp'>;
+  readonly standstill: Pick<StallWatch, 'catchUp'>;
 }
 
 /** Sends a request to a target and passes the answer to the sink. */
@@ -87,7 +87,7 @@
   request: TargetRequest,
   sink: AnswerSink,
   signal: AbortSignal,
-): Promise<AskOutcome> {
+): Promise<SendOutcome> {
   // After an event loop stall, pending events are processed first. Otherwise, targets receive
   // requests whose callers disconnected during the stall.
   const caughtUp = services.standstill.catchUp();
@@ -101,11 +101,11 @@
   request: TargetRequest,
   sink: AnswerSink,
   signal: AbortSignal,
-): Promise<AskOutcome> {
+): Promise<SendOutcome> {
   // A request that is written and then aborted still reaches its target.
   if (signal.aborted) {
     return Promise.resolve({
-      kind: AskOutcomeKind.Stopped,
+      kind: SendOutcomeKind.Stopped,
       sent: false,
       detail: 'not begun',
       brokeOff: false,
@@ -117,13 +117,13 @@
     let head: AnswerHead | null = null;
     let sent = false;
     let limitPerS: number | null = null;
-    const finish = (kind: AskOutcomeKind, detail: string, brokeOff = false): void => {
+    const finish = (kind: SendOutcomeKind, detail: string, brokeOff = false): void => {
       signal.removeEventListener('abort', onAbort);
       stream.stop();
       resolve({ kind, sent, detail, brokeOff, limitPerS });
     };
     const onAbort = (): void => {
-      finish(AskOutcomeKind.Stopped, 'stopped');
+      finish(SendOutcomeKind.Stopped, 'stopped');
     };
     const stream = services.transport.stream(
       {
@@ -138,12 +138,12 @@
           sent = true;
         },
         onStart: (status, headers, rawHeaders) => {
-          services.pulse.heard(target.id);
+          services.pulse.recordBytes(target.id);
           const received = services.wire.readAnswer(status, headers);
           limitPerS = received.limitPerS;
           const fault = findHeadFault(received, request);
           if (fault !== null) {
-            finish(AskOutcomeKind.Broken, fault);
+            finish(SendOutcomeKind.Broken, fault);
             return;
           }
           services.onAnswerHead(target, received, { work: request.work, sentAtMs });
@@ -151,21 +151,22 @@
           if (!received.notRun) sink.onHead(received, rawHeaders);
         },
         onData: (bytes) => {
-          services.pulse.heard(target.id);
+          services.pulse.recordBytes(target.id);
           if (head === null || head.notRun) return;
           const fault = sink.onBytes(bytes, stream);
-          if (fault !== null) finish(AskOutcomeKind.Broken, fault);
+          if (fault !== null) finish(SendOutcomeKind.Broken, fault);
         },
         onEnd: () => {
           const notRun = head?.notRun === true;
           const detail = `status ${String(head?.status ?? 0)}`;
-          finish(notRun ? AskOutcomeKind.NotRun : AskOutcomeKind.Complete, detail);
+          finish(notRun ? SendOutcomeKind.NotRun : SendOutcomeKind.Complete, detail);
         },
-        onTrouble: (trouble) => {
+        onFailure: (trouble) => {
           // A rejection counts even if its body is cut off: its head declares that nothing ran.
-          if (head?.notRun === true) finish(AskOutcomeKind.NotRun, `status ${String(head.status)}`);
-          else if (trouble.mayHaveRun) finish(AskOutcomeKind.Broken, trouble.detail, true);
-          else finish(AskOutcomeKind.NotSent, trouble.detail);
+          if (head?.notRun === true)
+            finish(SendOutcomeKind.NotRun, `status ${String(head.status)}`);
+          else if (trouble.mayHaveRun) finish(SendOutcomeKind.Broken, trouble.detail, true);
+          else finish(SendOutcomeKind.NotSent, trouble.detail);
         },
       },
     );
--- a/packages/daemon/src/gateway/counted-fleet.ts
+++ b/packages/daemon/src/gateway/counted-fleet.ts
@@ -18,7 +18,7 @@
 }
 
 /** Wraps the store's port in one that counts each call and each failure. */
-export function countCalls(fleet: FleetPort, count: (name: string) => void): FleetPort {
+export function countStoreCalls(fleet: FleetPort, count: (name: string) => void): FleetPort {
   function counted<Answer>(
     call: StoreCall,
     answer: ResultAsync<Answer, Failure>,
@@ -39,7 +39,7 @@
     announce: (gateway, leaseId) => counted(StoreCall.Write, fleet.announce(gateway, leaseId)),
     recordCrashes: (crashes, leaseId) =>
       counted(StoreCall.Write, fleet.recordCrashes(crashes, leaseId)),
-    forgetCrashes: (crashes) => counted(StoreCall.Write, fleet.forgetCrashes(crashes)),
+    deleteCrashes: (crashes) => counted(StoreCall.Write, fleet.deleteCrashes(crashes)),
     grantLease: (ttlMs) => counted(StoreCall.GrantLease, fleet.grantLease(ttlMs)),
     keepLeaseAlive: (leaseId) => counted(StoreCall.KeepLease, fleet.keepLeaseAlive(leaseId)),
     revokeLease: (leaseId) => counted(StoreCall.EndLease, fleet.revokeLease(leaseId)),
--- a/packages/daemon/src/gateway/crash-reports.ts
+++ b/packages/daemon/src/gateway/crash-reports.ts
@@ -6,24 +6,24 @@
 import {
   type CrashNote,
   type FleetView,
-  clearContent,
+  markContentHarmless,
   isConvictedContent,
-  rememberCrash,
+  addCrash,
 } from '@cassiamast/coordination';
 import type { FleetPort } from '@cassiamast/ports';
-import { type AskOutcome, AskOutcomeKind } from './ask-target.js';
+import { type SendOutcome, SendOutcomeKind } from './ask-target.js';
 import type { Exchange } from './exchange.js';
 import type { GatewayLog } from './gateway-log.js';
-import type { TargetPulse } from './target-pulse.js';
+import type { TargetActivity } from './target-pulse.js';
 
 /**
  * How long a crash counts: several times as long as a caller waits. When all gateways restart at
  * once, the record of completed requests is lost, so callers must be able to tolerate a wrong
  * refusal for this long.
  */
-export const CRASH_MEMORY_MS = 30_000;
+export const CRASH_NOTE_TTL_MS = 30_000;
 /** A lease is reused for new notes during the first half of its time to live. */
-const LEASE_USE_MS = CRASH_MEMORY_MS / 2;
+const LEASE_USE_MS = CRASH_NOTE_TTL_MS / 2;
 /**
  * Delay between a broken connection and its report. A target that sends anything in this time has
  * not crashed; it only lost an answer. The delay also batches notes, since each write has a cost.
@@ -40,7 +40,7 @@
 export interface CrashReportsOptions {
   readonly fleet: FleetPort;
   readonly view: FleetView;
-  readonly pulse: TargetPulse;
+  readonly pulse: TargetActivity;
   readonly nowMs: () => number;
   readonly log: GatewayLog;
   readonly count: (name: string) => void;
@@ -49,23 +49,23 @@
 /** Records crashes, shares them with other gateways and answers which requests they rule out. */
 export interface CrashReports {
   /** Records that a target's connection broke while it may have been running the request. */
-  readonly noteCrash: (exchange: Exchange, target: string) => void;
+  readonly recordCrash: (exchange: Exchange, target: string) => void;
   /** Records that a target ran the request to completion. */
-  readonly noteWhole: (exchange: Exchange) => void;
+  readonly recordCompletion: (exchange: Exchange) => void;
   /** Whether the request must not run again. */
   readonly isConvicted: (exchange: Exchange) => boolean;
   readonly stop: () => void;
 }
 
 /** Records a crash or a completed run from the outcome of one attempt, if it shows either. */
-export function noteForCrashes(
+export function recordCrashOutcome(
   exchange: Exchange,
   { crashes }: { readonly crashes: CrashReports },
   target: string,
-  outcome: AskOutcome,
+  outcome: SendOutcome,
 ): void {
-  if (outcome.brokeOff) crashes.noteCrash(exchange, target);
-  else if (outcome.kind === AskOutcomeKind.Complete) crashes.noteWhole(exchange);
+  if (outcome.brokeOff) crashes.recordCrash(exchange, target);
+  else if (outcome.kind === SendOutcomeKind.Complete) crashes.recordCompletion(exchange);
 }
 
 /** A possible crash and the time at which the connection broke. */
@@ -84,7 +84,7 @@
   async function leaseId(): Promise<string | null> {
     if (lease !== null && nowMs() - lease.grantedAtMs < LEASE_USE_MS) return lease.id;
     const grantedAtMs = nowMs();
-    const granted = await fleet.grantLease(CRASH_MEMORY_MS);
+    const granted = await fleet.grantLease(CRASH_NOTE_TTL_MS);
     if (granted.isErr()) return null;
     lease = { id: granted.value.leaseId, grantedAtMs };
     return lease.id;
@@ -102,7 +102,7 @@
       if (oldest === undefined || now - oldest.atMs < CONFIRM_DELAY_MS) break;
       suspicions.shift();
       const { note, atMs } = oldest;
-      if (pulse.isSilent(note.target, now - atMs)) notes.push(note);
+      if (pulse.isInactive(note.target, now - atMs)) notes.push(note);
     }
     return notes;
   }
@@ -112,7 +112,7 @@
     const notes = takeConfirmed();
     if (suspicions.length > 0) scheduleWrite();
     if (notes.length === 0) return;
-    for (const note of notes) rememberCrash(view.crashes, note);
+    for (const note of notes) addCrash(view.crashes, note);
     const id = await leaseId();
     const written = id === null ? null : await fleet.recordCrashes(notes, id);
     // The local record remains. Other gateways miss the note, which costs a few more crashes at
@@ -129,7 +129,7 @@
    * keep refusing it, and the answer to a caller would depend on the gateway it reached.
    */
   async function forgetNotes(notes: readonly CrashNote[]): Promise<void> {
-    const forgotten = await fleet.forgetCrashes(notes);
+    const forgotten = await fleet.deleteCrashes(notes);
     // The notes expire with their lease a little later.
     if (forgotten.isErr()) {
       log.warn('crashes not taken back', { cause: forgotten.error.message });
@@ -141,7 +141,7 @@
   }
 
   return {
-    noteCrash: (exchange, target) => {
+    recordCrash: (exchange, target) => {
       const note = { content: contentOf(exchange), target };
       count('crashes_noted_total');
       if (suspicions.length >= MAX_PENDING_NOTES) {
@@ -151,8 +151,8 @@
       suspicions.push({ note, atMs: nowMs() });
       scheduleWrite();
     },
-    noteWhole: (exchange) => {
-      const notes = clearContent(view.crashes, contentOf(exchange));
+    recordCompletion: (exchange) => {
+      const notes = markContentHarmless(view.crashes, contentOf(exchange));
       if (notes.length > 0) void forgetNotes(notes);
     },
     isConvicted: (exchange) =>
--- a/packages/daemon/src/gateway/fleet-follower.ts
+++ b/packages/daemon/src/gateway/fleet-follower.ts
@@ -9,21 +9,21 @@
   type FleetChange,
   FleetChangeKind,
   type FleetView,
-  type NewsPaceOptions,
+  type PollIntervalOptions,
   type Random,
   applyChanges,
   applyListing,
-  createNewsPace,
-  noteStoreAnswer,
+  createPollInterval,
+  recordStoreAnswer,
   pauseAfterFailureMs,
-  pauseAfterNewsMs,
-  settleDoubts,
+  pauseAfterAnswerMs,
+  removeMissingTargets,
 } from '@cassiamast/coordination';
 import {
-  type EntryFault,
+  type InvalidEntry,
   FLEET_HISTORY_GONE,
   type FleetPort,
-  type FleetReading,
+  type FleetChangeBatch,
 } from '@cassiamast/ports';
 import type { Result } from 'neverthrow';
 import { withResolvers } from '../node/http-body.js';
@@ -43,7 +43,7 @@
 export interface FleetFollowerOptions {
   readonly fleet: FleetPort;
   readonly view: FleetView;
-  readonly pace: NewsPaceOptions;
+  readonly pace: PollIntervalOptions;
   readonly random: Random;
   readonly nowMs: () => number;
   readonly log: GatewayLog;
@@ -62,13 +62,13 @@
   /** The revision that was known when the call was made. */
   readonly afterRevision: number;
   readonly timeoutMs: number;
-  readonly reading: PromiseLike<Result<FleetReading, Failure>>;
+  readonly reading: PromiseLike<Result<FleetChangeBatch, Failure>>;
 }
 
 /** Creates the follower. */
 export function createFleetFollower(options: FleetFollowerOptions): Child {
   const { fleet, view, nowMs, log, random } = options;
-  const pace = createNewsPace(options.pace);
+  const pace = createPollInterval(options.pace);
   let stopped = true;
   let isStoreLost = false;
   let needsListing = true;
@@ -82,13 +82,13 @@
   }
 
   function noteStoreRegained(): void {
-    noteStoreAnswer(view, nowMs());
+    recordStoreAnswer(view, nowMs());
     if (isStoreLost) log.info('store regained', { revision: view.revision });
     isStoreLost = false;
   }
 
   /** Logs an invalid entry once, since its writer may write it again with each heartbeat. */
-  function recordFault({ key }: EntryFault): void {
+  function recordFault({ key }: InvalidEntry): void {
     options.count('fleet_entries_ignored_total');
     if (loggedFaults.has(key)) return;
     if (loggedFaults.size >= MAX_LOGGED_FAULTS) loggedFaults.clear();
@@ -104,7 +104,7 @@
     log.info('target started again', { target: id, before, revision: change.revision });
   }
 
-  function applyReading({ changes, faults, revision }: FleetReading, isListing: boolean): void {
+  function applyReading({ changes, faults, revision }: FleetChangeBatch, isListing: boolean): void {
     noteStoreRegained();
     for (const fault of faults) recordFault(fault);
     const versionBefore = view.table?.configuration.version ?? 0;
@@ -180,13 +180,13 @@
       return pauseAfterFailureMs(pace, random);
     }
     applyReading(answer.value, read.isListing);
-    const pauseMs = pauseAfterNewsMs(pace, nowMs());
+    const pauseMs = pauseAfterAnswerMs(pace, nowMs());
     return read.isListing ? 0 : pauseMs;
   }
 
   async function poll(): Promise<void> {
     const pauseMs = await readOnce();
-    settleDoubts(view, nowMs());
+    removeMissingTargets(view, nowMs());
     await sleep(pauseMs);
   }
 
--- a/packages/daemon/src/gateway/forwarding-services.ts
+++ b/packages/daemon/src/gateway/forwarding-services.ts
@@ -1,6 +1,6 @@
 /** The services that plain and stream forwarding share. */
 import type { FleetView, Hash32, Random } from '@cassiamast/coordination';
-import type { StandstillWatch } from '../node/standstill.js';
+import type { StallWatch } from '../node/standstill.js';
 import type { SendServices } from './ask-target.js';
 import type { CrashReports } from './crash-reports.js';
 import type { GatewayLog } from './gateway-log.js';
@@ -11,7 +11,7 @@
 
 /** The services that forwarding a request depends on. */
 export interface ForwardingServices extends SendServices {
-  readonly standstill: StandstillWatch;
+  readonly standstill: StallWatch;
   readonly view: FleetView;
   readonly budgets: RetryBudgets;
   readonly health: TargetHealth;
--- a/packages/daemon/src/gateway/front-server.ts
+++ b/packages/daemon/src/gateway/front-server.ts
@@ -19,7 +19,7 @@
 import { BodyFault, readBody } from '../node/http-body.js';
 import { listenExclusively } from '../node/control-server.js';
 import type { Child } from '../supervisor/supervisor.js';
-import { CRASH_MEMORY_MS } from './crash-reports.js';
+import { CRASH_NOTE_TTL_MS } from './crash-reports.js';
 import type { Exchange } from './exchange.js';
 import { type ForwardingServices, newsAgeMs } from './forwarding-services.js';
 import { OwnStatus, sendOwnAnswer } from './own-answer.js';
@@ -190,7 +190,7 @@
   }
   if (services.crashes.isConvicted(exchange)) {
     services.log.warn('not taken, it crashes targets', { request: exchange.id });
-    refuse(response, services, OwnStatus.Refused, CRASHES_TARGETS_REASON, CRASH_MEMORY_MS);
+    refuse(response, services, OwnStatus.Refused, CRASHES_TARGETS_REASON, CRASH_NOTE_TTL_MS);
     return;
   }
   await forward(exchange, services);
@@ -238,7 +238,7 @@
   if (route === null) return null;
   const head = services.wire.readRequest(request.headers);
   const id = head.attemptId ?? randomUUID();
-  const timeoutMs = Math.min(head.patienceMs ?? DEFAULT_CALLER_TIMEOUT_MS, route.timeoutMs);
+  const timeoutMs = Math.min(head.remainingTimeMs ?? DEFAULT_CALLER_TIMEOUT_MS, route.timeoutMs);
   const endsAtMs = receivedAtMs + timeoutMs;
   const abortController = new AbortController();
   const end = (): void => {
--- a/packages/daemon/src/gateway/member-handlers.ts
+++ b/packages/daemon/src/gateway/member-handlers.ts
@@ -22,7 +22,7 @@
         announcedAtRevision: number,
       ];
       schedulers.report(service, events);
-      if (!scheduling.noteAsked(announcedAtRevision)) return ANNOUNCED_SINCE;
+      if (!scheduling.confirmAnnouncement(announcedAtRevision)) return ANNOUNCED_SINCE;
       return schedulers.take(service, job, waitMs);
     },
     [RpcMethod.ScheduleReport]: (params) => {
@@ -35,8 +35,8 @@
       return limits.onBorrow(service, borrower, reports);
     },
     [RpcMethod.LimitsTell]: (params) => {
-      const [reports, from] = params as Parameters<TargetLimits['onTold']>;
-      limits.onTold(reports, from);
+      const [reports, from] = params as Parameters<TargetLimits['onLimitsReported']>;
+      limits.onLimitsReported(reports, from);
       return null;
     },
     [RpcMethod.LimitsTake]: (params) => {
--- a/packages/daemon/src/gateway/own-answer.ts
+++ b/packages/daemon/src/gateway/own-answer.ts
@@ -4,7 +4,7 @@
  * only allowed while no target can have run the request.
  */
 import type { ServerResponse } from 'node:http';
-import type { CallerWire, OwnAnswer } from '@cassiamast/ports';
+import type { CallerWire, GatewayResponse } from '@cassiamast/ports';
 import type { Exchange } from './exchange.js';
 
 /** Status codes of the gateway's own answers. */
@@ -23,12 +23,12 @@
 export function sendOwnAnswer(
   response: ServerResponse,
   wire: CallerWire,
-  answer: OwnAnswer,
+  answer: GatewayResponse,
 ): boolean {
   if (response.headersSent || response.destroyed) return false;
   const body = JSON.stringify({ error: answer.reason });
   response.writeHead(answer.status, {
-    ...wire.ownHeaders(answer),
+    ...wire.gatewayResponseHeaders(answer),
     'content-type': 'application/json',
     'content-length': Buffer.byteLength(body),
   });
--- a/packages/daemon/src/gateway/phase-planner.ts
+++ b/packages/daemon/src/gateway/phase-planner.ts
@@ -16,7 +16,7 @@
   choosePhaseOrders,
   decodeEnginesWanted,
   servingTargets,
-  shortByLimits,
+  limitedDecodeShortage,
 } from '@cassiamast/coordination';
 import { type EngineControlPort, type LeaseStore, OrderAnswer } from '@cassiamast/ports';
 import { type LeaseDriver, createLeaseDriver } from '../planning/lease-driver.js';
@@ -58,9 +58,9 @@
   ttlMs: 4000,
   renewIntervalMs: 1000,
   safetyMs: 2000,
-  waitOutMs: 6000,
+  takeoverDelayMs: 6000,
   retryMs: 1000,
-  guards: { fencesItself: true, waitsOut: true },
+  guards: { stopsBeforeExpiry: true, waitsForOldTickets: true },
 };
 
 /** Dependencies of the planner. */
@@ -187,14 +187,14 @@
       peak.streams,
       PHASE_SPLIT_OPTIONS,
     );
-    return shortByLimits(phaseEngines, wantedEngines) > 0;
+    return limitedDecodeShortage(phaseEngines, wantedEngines) > 0;
   }
 
   async function changePhase({ engineId, phase }: PhaseOrder): Promise<void> {
     const target = view.targets.get(engineId)?.entry;
     if (target === undefined) return;
     changingUntilMs.set(engineId, nowMs() + PHASE_CHANGE_MS);
-    const standing = await control.readStanding(target);
+    const standing = await control.readStatus(target);
     if (standing.isErr()) {
       log.warn('engine not read', { target: engineId, cause: standing.error.message });
       return;
--- a/packages/daemon/src/gateway/plain-forwarding.ts
+++ b/packages/daemon/src/gateway/plain-forwarding.ts
@@ -2,9 +2,9 @@
  * Forwards requests to plain services. A failed request is retried at other targets if it is
  * idempotent and both its route's maximum of attempts and the retry budget allow it.
  */
-import { AskedWork, DeliveryKind, type TargetEntry } from '@cassiamast/coordination';
-import { type AskOutcome, AskOutcomeKind, sendToTarget } from './ask-target.js';
-import { noteForCrashes } from './crash-reports.js';
+import { RequestedWork, DeliveryKind, type TargetEntry } from '@cassiamast/coordination';
+import { type SendOutcome, SendOutcomeKind, sendToTarget } from './ask-target.js';
+import { recordCrashOutcome } from './crash-reports.js';
 import type { Exchange } from './exchange.js';
 import { type BufferedAnswer, bufferAnswer } from './held-answer.js';
 import { failureStatus, sendOwnAnswer } from './own-answer.js';
@@ -85,7 +85,7 @@
   services: ForwardingServices,
   target: TargetEntry,
   bufferedAnswer: BufferedAnswer,
-): Promise<AskOutcome> {
+): Promise<SendOutcome> {
   const { route } = exchange;
   const startedAtMs = services.nowMs();
   const leftMs = Math.max(1, Math.floor(exchange.endsAtMs - startedAtMs));
@@ -101,8 +101,8 @@
   }, slowAfterMs);
   const headers = services.wire.targetHeaders(exchange.rawHeaders, {
     targetName: target.name,
-    patienceMs: leftMs,
-    readOnly: false,
+    remainingTimeMs: leftMs,
+    prefillOnly: false,
     from: null,
     fetchFrom: null,
     lastEventId: exchange.head.lastEventId,
@@ -113,7 +113,7 @@
     target,
     {
       attemptId: exchange.head.attemptId,
-      work: AskedWork.Run,
+      work: RequestedWork.Run,
       method: exchange.method,
       path: exchange.path,
       headers,
@@ -126,8 +126,8 @@
   services.health.noteDone(target);
   if (outcome.sent) exchange.sends += 1;
   exchange.lastTarget = target.id;
-  exchange.mayHaveRun ||= outcome.sent && outcome.kind !== AskOutcomeKind.NotRun;
-  noteForCrashes(exchange, services, target.id, outcome);
+  exchange.mayHaveRun ||= outcome.sent && outcome.kind !== SendOutcomeKind.NotRun;
+  recordCrashOutcome(exchange, services, target.id, outcome);
   services.log.info('sent to target', {
     request: exchange.id,
     target: target.id,
@@ -146,14 +146,14 @@
   state: ForwardingState,
   target: TargetEntry,
   bufferedAnswer: BufferedAnswer,
-  outcome: AskOutcome,
+  outcome: SendOutcome,
 ): Promise<NextStep> {
   const { exchange, services } = state;
   const mayRepeat = exchange.route.kind === DeliveryKind.Idempotent;
   exchange.failedTargets.add(target.id);
   switch (outcome.kind) {
-    case AskOutcomeKind.Complete: {
-      services.health.noteGood(target);
+    case SendOutcomeKind.Complete: {
+      services.health.recordSuccess(target);
       const failed = (bufferedAnswer.head()?.status ?? 0) >= FIRST_SERVER_ERROR_STATUS;
       if (failed && mayRepeat && !bufferedAnswer.hasSentHead()) {
         const next = await retryWithinBudget(state);
@@ -162,18 +162,18 @@
       bufferedAnswer.deliver();
       return DELIVERED;
     }
-    case AskOutcomeKind.NotSent:
-      services.health.noteBad(target);
+    case SendOutcomeKind.NotSent:
+      services.health.recordFailure(target);
       state.unreachable += 1;
       return state.unreachable > MAX_UNREACHABLE ? GIVE_UP : tryNextTarget(state);
-    case AskOutcomeKind.NotRun:
+    case SendOutcomeKind.NotRun:
       return retryWithinBudget(state);
     // An attempt stopped before the deadline was too slow; only idempotent requests are stopped.
-    case AskOutcomeKind.Stopped:
-    case AskOutcomeKind.Silent:
-    case AskOutcomeKind.Broken:
+    case SendOutcomeKind.Stopped:
+    case SendOutcomeKind.Silent:
+    case SendOutcomeKind.Broken:
       if (exchange.signal.aborted) return GIVE_UP;
-      services.health.noteBad(target);
+      services.health.recordFailure(target);
       return !mayRepeat || bufferedAnswer.hasSentHead() ? GIVE_UP : retryWithinBudget(state);
   }
 }
@@ -213,7 +213,7 @@
   limited: ReadonlyMap<string, number>,
 ): number {
   if (limited.size === 0) return RETRY_AFTER_MS;
-  return Math.max(RETRY_AFTER_MS, limits.askBackInMs(limited));
+  return Math.max(RETRY_AFTER_MS, limits.callerRetryInMs(limited));
 }
 
 function logLimited(
--- a/packages/daemon/src/gateway/presence.ts
+++ b/packages/daemon/src/gateway/presence.ts
@@ -17,7 +17,7 @@
 /** Renewals within the time to live of a lease; two consecutive renewals may be lost. */
 const RENEWALS_PER_TTL = 3;
 /** Backoff after failed calls. */
-const RETRY_BACKOFF: BackOffBounds = { firstMs: 300, mostMs: 1200 };
+const RETRY_BACKOFF: BackOffBounds = { initialMs: 300, maxMs: 1200 };
 
 /** Dependencies of the presence. */
 export interface PresenceOptions {
@@ -33,7 +33,7 @@
 export interface Presence {
   readonly child: Child;
   /** Resolves after the first attempt to announce this gateway, whether or not it succeeded. */
-  readonly tried: Promise<void>;
+  readonly firstAttempt: Promise<void>;
   /** Whether the store has confirmed the announcement within its time to live. */
   readonly isConfirmed: () => boolean;
   readonly withdraw: () => Promise<void>;
@@ -110,7 +110,7 @@
       },
       stop: withdraw,
     },
-    tried,
+    firstAttempt: tried,
     isConfirmed: () => leaseId !== null && nowMs() - confirmedAtMs < ttlMs,
     withdraw,
   };
--- a/packages/daemon/src/gateway/retry-budgets.ts
+++ b/packages/daemon/src/gateway/retry-budgets.ts
@@ -3,8 +3,8 @@
   type RetryWindow,
   type RetryWindowOptions,
   createRetryWindow,
-  noteWindowRequest,
-  takeWindowRetries,
+  recordWindowRequest,
+  reserveWindowRetries,
 } from '@cassiamast/coordination';
 import type { GatewayCount } from './gateway-count.js';
 
@@ -31,9 +31,9 @@
 
   return {
     noteRequest: (service) => {
-      noteWindowRequest(windowOf(service), nowMs());
+      recordWindowRequest(windowOf(service), nowMs());
     },
     take: (service, arrivals = 1) =>
-      takeWindowRetries(windowOf(service), arrivals, gateways.count(), nowMs()),
+      reserveWindowRetries(windowOf(service), arrivals, gateways.count(), nowMs()),
   };
 }
--- a/packages/daemon/src/gateway/scheduling-client.ts
+++ b/packages/daemon/src/gateway/scheduling-client.ts
@@ -82,7 +82,7 @@
    * after all gateways have restarted: the store still contains announcements from before the
    * restart, and gateways that see different ones of them would choose different schedulers.
    */
-  readonly noteAsked: (announcedAtRevision: number) => boolean;
+  readonly confirmAnnouncement: (announcedAtRevision: number) => boolean;
   /** Returns the gateway that schedules a service, according to this gateway's view. */
   readonly schedulerOf: (service: string) => string;
   /** Resolves with the decision, or with null when the signal is aborted. */
@@ -99,7 +99,7 @@
     target: string,
   ) => void;
   /** Sends the queued reports. Resolves when each has been delivered or lost. */
-  readonly settle: () => Promise<void>;
+  readonly flushReports: () => Promise<void>;
 }
 
 /** Probes the VM of a scheduler whose answer is late. */
@@ -242,7 +242,7 @@
   }
 
   return {
-    noteAsked: (announcedAtRevision) => {
+    confirmAnnouncement: (announcedAtRevision) => {
       const isValid = announcementRevision(selfId) <= announcedAtRevision;
       if (isValid) lastAskedAtMs = nowMs();
       return isValid;
@@ -272,7 +272,7 @@
       return null;
     },
     report,
-    settle,
+    flushReports: settle,
   };
 }
 
--- a/packages/daemon/src/gateway/scheduling-service.ts
+++ b/packages/daemon/src/gateway/scheduling-service.ts
@@ -14,9 +14,9 @@
   type Scheduler,
   createScheduler,
   engineRequests,
-  enginesToList,
-  noteEngines,
-  noteJobEvents,
+  enginesWithStaleCache,
+  syncEngines,
+  handleJobEvents,
   seedCache,
   servingTargets,
   submitJob,
@@ -83,12 +83,12 @@
 
   function updateEngines(service: string, scheduler: Scheduler): void {
     const spec = view.table?.servicesByName.get(service)?.engine ?? null;
-    if (spec !== null) noteEngines(scheduler, servingTargets(view, service, nowMs()), spec);
+    if (spec !== null) syncEngines(scheduler, servingTargets(view, service, nowMs()), spec);
   }
 
   /** Reads the caches of engines for which another process may have scheduled jobs meanwhile. */
   function refreshCaches(service: string, scheduler: Scheduler): void {
-    const ids = enginesToList(scheduler, nowMs());
+    const ids = enginesWithStaleCache(scheduler, nowMs());
     if (ids.length === 0) return;
     log.info('scheduling begins', { service, engines: ids.length });
     for (const id of ids) void refreshCache(scheduler, id);
@@ -117,7 +117,7 @@
     let hasPendingJobs = false;
     for (const scheduler of schedulers.values()) {
       deliverDecisions(tickScheduler(scheduler, nowMs()));
-      hasPendingJobs ||= scheduler.waiting.size > 0 || scheduler.decided.size > 0;
+      hasPendingJobs ||= scheduler.queuedJobs.size > 0 || scheduler.decided.size > 0;
     }
     if (hasPendingJobs) scheduleTick();
   }
@@ -161,7 +161,7 @@
       });
     },
     report: (service, events) => {
-      deliverDecisions(noteJobEvents(schedulerOf(service), events, nowMs()));
+      deliverDecisions(handleJobEvents(schedulerOf(service), events, nowMs()));
     },
     engineRequests: (service) => engineRequests(schedulerOf(service)),
     suspend: (service, target, untilMs) => {
--- a/packages/daemon/src/gateway/settings.ts
+++ b/packages/daemon/src/gateway/settings.ts
@@ -24,5 +24,5 @@
   /** Time to live of this gateway's lease. */
   readonly leaseTtlMs: number;
   /** Maximum time until a change in the platform's store takes effect. */
-  readonly newsWithinMs: number;
+  readonly maxUpdateDelayMs: number;
 }
--- a/packages/daemon/src/gateway/silence-watch.ts
+++ b/packages/daemon/src/gateway/silence-watch.ts
@@ -5,8 +5,8 @@
  * requests wait; the target counts as unresponsive only if it sends nothing for any other request
  * either.
  */
-import type { StandstillWatch } from '../node/standstill.js';
-import type { TargetPulse } from './target-pulse.js';
+import type { StallWatch } from '../node/standstill.js';
+import type { TargetActivity } from './target-pulse.js';
 
 /** Interval between checks of an inactive request. */
 const RECHECK_INTERVAL_MS = 100;
@@ -16,16 +16,16 @@
 const TARGET_INACTIVITY_MS = 600;
 
 /** Watches one request at one target for inactivity. */
-export interface SilenceWatch {
+export interface InactivityWatch {
   /** Records that bytes were received for the request. */
   readonly noteBytes: () => void;
   readonly stop: () => void;
 }
 
 /** Sources that a watch evaluates. */
-export interface SilenceSigns {
-  readonly pulse: TargetPulse;
-  readonly standstill: Pick<StandstillWatch, 'catchUp'>;
+export interface InactivitySources {
+  readonly pulse: TargetActivity;
+  readonly standstill: Pick<StallWatch, 'catchUp'>;
   readonly nowMs: () => number;
 }
 
@@ -35,12 +35,12 @@
  * streams and prefills would be given up at once although the data that targets sent meanwhile is
  * waiting to be read.
  */
-export function watchSilence(
-  { pulse, standstill, nowMs }: SilenceSigns,
+export function watchInactivity(
+  { pulse, standstill, nowMs }: InactivitySources,
   target: string,
   allowedMs: number,
   onUnresponsive: () => void,
-): SilenceWatch {
+): InactivityWatch {
   let lastBytesAtMs = nowMs();
   let timer = setTimeout(check, allowedMs);
 
@@ -48,7 +48,7 @@
     const remainingMs = allowedMs - (nowMs() - lastBytesAtMs);
     if (remainingMs > 0) timer = setTimeout(check, remainingMs);
     else if (standstill.catchUp() !== null) timer = setTimeout(check, RECHECK_INTERVAL_MS);
-    else if (!pulse.isSilent(target, TARGET_INACTIVITY_MS))
+    else if (!pulse.isInactive(target, TARGET_INACTIVITY_MS))
       timer = setTimeout(check, RECHECK_INTERVAL_MS);
     else onUnresponsive();
   }
--- a/packages/daemon/src/gateway/start-gateway.ts
+++ b/packages/daemon/src/gateway/start-gateway.ts
@@ -9,7 +9,7 @@
   createElapsedClock,
   createFleetView,
   createHashing,
-  newsPaceOptions,
+  pollIntervalOptions,
   seededRandom,
 } from '@cassiamast/coordination';
 import {
@@ -25,15 +25,15 @@
 import { createControlServer } from '../node/control-server.js';
 import { createLog } from '../node/logging.js';
 import { allowNetworks } from '../node/networks.js';
-import type { StopReason, TakeBack } from '../node/run-process.js';
+import type { StopReason, WithdrawAnnouncements } from '../node/run-process.js';
 import { isReachable } from '../node/reachable.js';
 import { createRpcClient } from '../node/rpc-client.js';
 import { createMemberProof } from '../node/secret.js';
-import { createStandstillWatch } from '../node/standstill.js';
+import { createStallWatch } from '../node/standstill.js';
 import { createTelemetry } from '../node/telemetry.js';
 import { createTimeline } from '../node/timeline.js';
 import { DEFAULT_RESTART_LIMIT, createSupervisor } from '../supervisor/supervisor.js';
-import { countCalls } from './counted-fleet.js';
+import { countStoreCalls } from './counted-fleet.js';
 import { createCrashReports } from './crash-reports.js';
 import { createFleetFollower } from './fleet-follower.js';
 import type { ForwardingServices } from './forwarding-services.js';
@@ -54,7 +54,7 @@
 import type { GatewaySettings } from './settings.js';
 import { createTargetHealth } from './target-health.js';
 import { createTargetLimits } from './target-limits.js';
-import { createTargetPulse } from './target-pulse.js';
+import { createTargetActivity } from './target-pulse.js';
 
 const MAX_SEED = 0x7fff_ffff;
 const SIGNIFICANT_DIGITS = 2;
@@ -104,7 +104,7 @@
   settings: GatewaySettings,
   platform: GatewayPlatform,
   onFailure: (failure: Failure) => void,
-  onWithdrawReady: (takeBack: TakeBack) => void = () => undefined,
+  onWithdrawReady: (takeBack: WithdrawAnnouncements) => void = () => undefined,
 ): Promise<RunningGateway> {
   const { monotonicMs, wallMs } = SYSTEM_CLOCKS;
   const selfId = formatAddress(settings.members);
@@ -114,13 +114,13 @@
   const telemetry = createTelemetry(timeline.put, (highestTrackableValue) =>
     build({ highestTrackableValue, numberOfSignificantValueDigits: SIGNIFICANT_DIGITS }),
   );
-  const fleet = countCalls(platform.fleet, telemetry.count);
+  const fleet = countStoreCalls(platform.fleet, telemetry.count);
   const random = seededRandom(randomInt(MAX_SEED));
   const { hash32 } = await createHashing();
   const view = createFleetView();
   const proof = createMemberProof(MEMBER_SECRET);
   const rpc = createRpcClient(proof, timeline.clock);
-  const standstill = createStandstillWatch(monotonicMs, (forMs) => {
+  const standstill = createStallWatch(monotonicMs, (forMs) => {
     telemetry.count('standstills_total');
     telemetry.record('standstill_ms', forMs);
     log.warn('process stood still', { forMs: Math.round(forMs) });
@@ -184,7 +184,7 @@
     isReachable,
     isConfirmed: () => presence.isConfirmed(),
   });
-  const pulse = createTargetPulse(monotonicMs);
+  const pulse = createTargetActivity(monotonicMs);
   const crashes = createCrashReports({
     fleet,
     view,
@@ -245,12 +245,13 @@
       createFleetFollower({
         fleet,
         view,
-        pace: newsPaceOptions(settings.newsWithinMs),
+        pace: pollIntervalOptions(settings.maxUpdateDelayMs),
         random,
         nowMs: monotonicMs,
         log,
         count: telemetry.count,
-        beforeFirstListing: () => Promise.race([presence.tried, sleep(MAX_ANNOUNCE_WAIT_MS)]),
+        beforeFirstListing: () =>
+          Promise.race([presence.firstAttempt, sleep(MAX_ANNOUNCE_WAIT_MS)]),
         onChanged: () => {
           schedulers.refresh();
           front.applyLimits();
@@ -295,7 +296,7 @@
   log.lifecycle('gateway started', { selfId, failureDomain: settings.failureDomain });
 
   async function close(): Promise<void> {
-    await scheduling.settle();
+    await scheduling.flushReports();
     schedulers.stop();
     crashes.stop();
     await root.stop();
--- a/packages/daemon/src/gateway/stream-forwarding.ts
+++ b/packages/daemon/src/gateway/stream-forwarding.ts
@@ -9,7 +9,7 @@
   DecisionKind,
   JobEventKind,
   type TargetEntry,
-  hasStartedAgain,
+  hasRestarted,
   servingTarget,
 } from '@cassiamast/coordination';
 import { createJobRequest } from './engine-job.js';
@@ -106,7 +106,7 @@
   if (plan.streamAt === null) return requestStream(turn, prefillTarget, null);
   const handle = await requestPrefill(turn, prefillTarget);
   if (handle === null) return exchange.signal.aborted ? TurnEnd.Stopped : TurnEnd.NotRun;
-  if (hasStartedAgain(services.view, prefillTarget)) return rejectHandle(turn, prefillTarget);
+  if (hasRestarted(services.view, prefillTarget)) return rejectHandle(turn, prefillTarget);
   const end = await requestStream(turn, decodeTarget, handle);
   if (end !== TurnEnd.Delivered) freeHandle(services, handle);
   return end;
--- a/packages/daemon/src/gateway/stream-relay.ts
+++ b/packages/daemon/src/gateway/stream-relay.ts
@@ -3,7 +3,7 @@
  * event is sent as soon as it is complete; the caller gets the head of the first target's answer.
  */
 import type { ServerResponse } from 'node:http';
-import { createEventFraming, hasPartialEvent, takeEventBytes } from '@cassiamast/coordination';
+import { createEventFraming, hasPartialEvent, addEventBytes } from '@cassiamast/coordination';
 import type { AnswerHead, CallerWire } from '@cassiamast/ports';
 import type { AnswerSink } from './ask-target.js';
 
@@ -84,7 +84,7 @@
           failureBody.push(bytes);
           return null;
         }
-        const wholeEvents = takeEventBytes(framing, bytes);
+        const wholeEvents = addEventBytes(framing, bytes);
         if (isFirstEvent && wholeEvents.length > 0) {
           isFirstEvent = false;
           events.onFirstEvent();
--- a/packages/daemon/src/gateway/stream-sending.ts
+++ b/packages/daemon/src/gateway/stream-sending.ts
@@ -3,12 +3,17 @@
  * another or the same one. An unresponsive target is abandoned if the request may continue
  * elsewhere.
  */
-import { AskedWork, JobEventKind, type TargetEntry, servingTarget } from '@cassiamast/coordination';
+import {
+  RequestedWork,
+  JobEventKind,
+  type TargetEntry,
+  servingTarget,
+} from '@cassiamast/coordination';
 import type { PromptHandle } from '@cassiamast/ports';
-import { type AnswerSink, type AskOutcome, AskOutcomeKind, sendToTarget } from './ask-target.js';
-import { noteForCrashes } from './crash-reports.js';
+import { type AnswerSink, type SendOutcome, SendOutcomeKind, sendToTarget } from './ask-target.js';
+import { recordCrashOutcome } from './crash-reports.js';
 import type { ForwardingServices } from './forwarding-services.js';
-import { watchSilence } from './silence-watch.js';
+import { watchInactivity } from './silence-watch.js';
 import { type Turn, TurnEnd, reportFailed, report } from './stream-turn.js';
 
 /**
@@ -41,10 +46,10 @@
     collected.sink,
   );
   // A completed prefill doesn't prove the request harmless: it may still crash the decode engine.
-  if (outcome.brokeOff) services.crashes.noteCrash(exchange, prefillTarget.id);
+  if (outcome.brokeOff) services.crashes.recordCrash(exchange, prefillTarget.id);
   logSend(turn, prefillTarget, 'read prompt', outcome);
   const handle =
-    outcome.kind === AskOutcomeKind.Complete ? services.wire.readHandle(collected.body()) : null;
+    outcome.kind === SendOutcomeKind.Complete ? services.wire.readHandle(collected.body()) : null;
   if (handle !== null) {
     report(turn, JobEventKind.Read, prefillTarget.id);
     return { address: prefillTarget.address, handle };
@@ -72,32 +77,32 @@
     STREAM_SILENCE_MS + (from === null ? plan.predictedReadMs * PREFILL_SLACK_RATIO : 0);
   const outcome = await send(turn, target, { readOnly: false, from, allowedMs }, reportingSink);
   if (outcome.sent) exchange.sends += 1;
-  exchange.mayHaveRun ||= outcome.sent && outcome.kind !== AskOutcomeKind.NotRun;
-  noteForCrashes(exchange, turn.services, target.id, outcome);
+  exchange.mayHaveRun ||= outcome.sent && outcome.kind !== SendOutcomeKind.NotRun;
+  recordCrashOutcome(exchange, turn.services, target.id, outcome);
   logSend(turn, target, 'sent to target', outcome);
   return concludeTurn(turn, target, outcome);
 }
 
-function concludeTurn(turn: Turn, target: TargetEntry, outcome: AskOutcome): TurnEnd {
+function concludeTurn(turn: Turn, target: TargetEntry, outcome: SendOutcome): TurnEnd {
   const { relay } = turn;
   switch (outcome.kind) {
-    case AskOutcomeKind.Complete:
+    case SendOutcomeKind.Complete:
       if (relay.endedInsideEvent() || relay.failedAfterStart()) {
         reportFailed(turn, target, JobEventKind.Broke);
         return TurnEnd.Broken;
       }
       relay.end();
       return TurnEnd.Delivered;
-    case AskOutcomeKind.NotSent:
-    case AskOutcomeKind.NotRun:
+    case SendOutcomeKind.NotSent:
+    case SendOutcomeKind.NotRun:
       // The target is unreachable, changing its phase or full, so other requests must avoid it as
       // well.
       reportFailed(turn, target, JobEventKind.Failed);
       return TurnEnd.NotRun;
-    case AskOutcomeKind.Stopped:
+    case SendOutcomeKind.Stopped:
       return TurnEnd.Stopped;
-    case AskOutcomeKind.Silent:
-    case AskOutcomeKind.Broken:
+    case SendOutcomeKind.Silent:
+    case SendOutcomeKind.Broken:
       reportFailed(turn, target, failureKind(outcome));
       return TurnEnd.Broken;
   }
@@ -106,8 +111,8 @@
 /**
  * A broken answer may concern this request only; any other failure means that the target is down.
  */
-function failureKind(outcome: AskOutcome): JobEventKind {
-  return outcome.kind === AskOutcomeKind.Broken ? JobEventKind.Broke : JobEventKind.Failed;
+function failureKind(outcome: SendOutcome): JobEventKind {
+  return outcome.kind === SendOutcomeKind.Broken ? JobEventKind.Broke : JobEventKind.Failed;
 }
 
 /** Options of one attempt. */
@@ -124,19 +129,19 @@
   target: TargetEntry,
   options: SendOptions,
   sink: AnswerSink,
-): Promise<AskOutcome> {
+): Promise<SendOutcome> {
   const { exchange, services, relay } = turn;
   exchange.lastTarget = target.id;
   const headers = services.wire.targetHeaders(exchange.rawHeaders, {
     targetName: target.name,
-    patienceMs: Math.max(1, Math.floor(exchange.endsAtMs - services.nowMs())),
-    readOnly: options.readOnly,
+    remainingTimeMs: Math.max(1, Math.floor(exchange.endsAtMs - services.nowMs())),
+    prefillOnly: options.readOnly,
     from: options.from,
     fetchFrom: options.from === null ? addressOf(services, turn.plan.fetchFrom) : null,
     lastEventId: relay.lastEventId() ?? exchange.head.lastEventId,
   });
   const { method, path, body, head } = exchange;
-  const work = options.readOnly ? AskedWork.Read : AskedWork.Run;
+  const work = options.readOnly ? RequestedWork.Read : RequestedWork.Run;
   const request = { attemptId: head.attemptId, work, method, path, headers, body };
   // A stream that must not run twice keeps waiting: an unresponsive target may still be producing
   // it.
@@ -147,7 +152,7 @@
   };
   if (exchange.signal.aborted) stop();
   exchange.signal.addEventListener('abort', stop);
-  const watch = watchSilence(services, target.id, options.allowedMs, () => {
+  const watch = watchInactivity(services, target.id, options.allowedMs, () => {
     services.count('silent_targets_total');
     if (mayMove) stop();
     else report(turn, JobEventKind.Failed, target.id);
@@ -162,8 +167,8 @@
   const outcome = await sendToTarget(services, target, request, watchedSink, stopped.signal);
   watch.stop();
   exchange.signal.removeEventListener('abort', stop);
-  const isSilent = outcome.kind === AskOutcomeKind.Stopped && !exchange.signal.aborted;
-  return isSilent ? { ...outcome, kind: AskOutcomeKind.Silent, detail: 'silent' } : outcome;
+  const isSilent = outcome.kind === SendOutcomeKind.Stopped && !exchange.signal.aborted;
+  return isSilent ? { ...outcome, kind: SendOutcomeKind.Silent, detail: 'silent' } : outcome;
 }
 
 function collectBody(): {
@@ -201,7 +206,7 @@
 
 const FREE_LIMITS = { timeoutMs: 1000, maxAnswerBytes: 65_536 };
 
-function logSend(turn: Turn, target: TargetEntry, message: string, outcome: AskOutcome): void {
+function logSend(turn: Turn, target: TargetEntry, message: string, outcome: SendOutcome): void {
   const { exchange, services } = turn;
   services.log.info(message, {
     request: exchange.id,
--- a/packages/daemon/src/gateway/target-health.ts
+++ b/packages/daemon/src/gateway/target-health.ts
@@ -11,9 +11,9 @@
   type TargetEntry,
   createOutliers,
   excludedTargets,
-  noteAnswer,
-  noteOutlierTargets,
-  noteTargetFailure,
+  recordTargetAnswer,
+  setOutlierTargets,
+  recordTargetFailure,
   servingTargets,
 } from '@cassiamast/coordination';
 
@@ -35,8 +35,8 @@
   readonly choose: (service: string, tried: ReadonlySet<string>) => TargetEntry | null;
   readonly noteSent: (target: TargetEntry) => void;
   readonly noteDone: (target: TargetEntry) => void;
-  readonly noteGood: (target: TargetEntry) => void;
-  readonly noteBad: (target: TargetEntry) => void;
+  readonly recordSuccess: (target: TargetEntry) => void;
+  readonly recordFailure: (target: TargetEntry) => void;
 }
 
 /** Creates the health tracking of all plain targets. */
@@ -80,7 +80,7 @@
         (entry) => !tried.has(entry.id),
       );
       const outliers = outliersOf(service);
-      noteOutlierTargets(
+      setOutlierTargets(
         outliers,
         servingTargets(view, service, nowMs()).map((entry) => entry.id),
       );
@@ -99,11 +99,11 @@
     noteDone: (target) => {
       adjustInFlight(target, -1);
     },
-    noteGood: (target) => {
-      noteAnswer(outliersOf(target.service), target.id, 1, nowMs());
+    recordSuccess: (target) => {
+      recordTargetAnswer(outliersOf(target.service), target.id, 1, nowMs());
     },
-    noteBad: (target) => {
-      noteTargetFailure(outliersOf(target.service), target.id, nowMs());
+    recordFailure: (target) => {
+      recordTargetFailure(outliersOf(target.service), target.id, nowMs());
     },
   };
 }
--- a/packages/daemon/src/gateway/target-limits.ts
+++ b/packages/daemon/src/gateway/target-limits.ts
@@ -12,7 +12,7 @@
   type Permits,
   type Random,
   type TargetAnswer,
-  askBackInMs,
+  reserveRetrySlot,
   borrowerOf,
   createRateLimiter,
   dropOldLimits,
@@ -21,9 +21,9 @@
   limitOf,
   limitReports,
   mergeLimits,
-  noteBorrowed,
-  noteLimitMissing,
-  noteLimitNamed,
+  recordBorrowedShare,
+  recordNoLimit,
+  recordLimit,
   permitsOf,
   servicesWithLimits,
   usableShare,
@@ -91,7 +91,7 @@
    */
   readonly leave: () => void;
   /** Returns when a refused caller may retry, given the permit waits of all eligible targets. */
-  readonly askBackInMs: (waitMsByTarget: ReadonlyMap<string, number>) => number;
+  readonly callerRetryInMs: (waitMsByTarget: ReadonlyMap<string, number>) => number;
   /** Sets the gauges. */
   readonly measure: () => void;
   /** Handles the call of a deciding gateway that borrows this gateway's share. */
@@ -101,7 +101,7 @@
     reports: readonly LimitReport[],
   ) => LentShare;
   /** Handles limits reported by another gateway. */
-  readonly onTold: (reports: readonly LimitReport[], from: string) => void;
+  readonly onLimitsReported: (reports: readonly LimitReport[], from: string) => void;
   /** Handles a permit request of a gateway that has lent its share. */
   readonly onTake: (target: string, reports: readonly LimitReport[], from: string) => number;
 }
@@ -126,8 +126,8 @@
     const answer = { ...targetAnswer, origin: `${selfId}/${String(answerCount)}` };
     const hasChanged =
       perS === null
-        ? noteLimitMissing(limits, target, answer, now)
-        : noteLimitNamed(limits, target, perS, answer, now);
+        ? recordNoLimit(limits, target, answer, now)
+        : recordLimit(limits, target, perS, answer, now);
     if (hasChanged) announceLimits([target.id], target.service, selfId);
   }
 
@@ -185,7 +185,7 @@
     );
     lent.match(
       ({ fraction, reports }) => {
-        noteBorrowed(shares, service, gateway, fraction, askedAtMs);
+        recordBorrowedShare(shares, service, gateway, fraction, askedAtMs);
         mergeReports(reports, gateway);
       },
       () => {
@@ -283,8 +283,8 @@
       giveUpShares(shares);
     },
     take,
-    askBackInMs: (waitMsByTarget) =>
-      askBackInMs(
+    callerRetryInMs: (waitMsByTarget) =>
+      reserveRetrySlot(
         limiter,
         [...waitMsByTarget.keys()],
         Math.min(...waitMsByTarget.values()),
@@ -298,7 +298,7 @@
       const fraction = isDecider ? lendShare(shares, service, borrower, gateways.count(), now) : 0;
       return { fraction, reports: reportsOf(service) };
     },
-    onTold: (reports, from) => {
+    onLimitsReported: (reports, from) => {
       mergeReports(reports, from);
     },
     onTake: (target, reports, from) => {
--- a/packages/daemon/src/gateway/target-pulse.ts
+++ b/packages/daemon/src/gateway/target-pulse.ts
@@ -4,26 +4,26 @@
  */
 
 /** Records the activity of targets. */
-export interface TargetPulse {
-  readonly heard: (target: string) => void;
+export interface TargetActivity {
+  readonly recordBytes: (target: string) => void;
   /** Whether nothing has been received from a target for `forMs`. */
-  readonly isSilent: (target: string, forMs: number) => boolean;
+  readonly isInactive: (target: string, forMs: number) => boolean;
 }
 
 /** Maximum number of tracked targets, far more than a gateway sends requests to in a minute. */
 const MAX_TARGETS = 1024;
 
 /** Creates the tracking without any recorded activity. */
-export function createTargetPulse(nowMs: () => number): TargetPulse {
+export function createTargetActivity(nowMs: () => number): TargetActivity {
   const lastReceivedAtMs = new Map<string, number>();
   return {
-    heard: (target) => {
+    recordBytes: (target) => {
       lastReceivedAtMs.delete(target);
       lastReceivedAtMs.set(target, nowMs());
       const oldest = lastReceivedAtMs.keys().next().value;
       if (lastReceivedAtMs.size > MAX_TARGETS && oldest !== undefined)
         lastReceivedAtMs.delete(oldest);
     },
-    isSilent: (target, forMs) => nowMs() - (lastReceivedAtMs.get(target) ?? -Infinity) >= forMs,
+    isInactive: (target, forMs) => nowMs() - (lastReceivedAtMs.get(target) ?? -Infinity) >= forMs,
   };
 }
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -11,7 +11,7 @@
   ExitCode,
   type OnFailure,
   StopReason,
-  type TakeBack,
+  type WithdrawAnnouncements,
   runProcess,
 } from './node/run-process.js';
 export { type WriteText, writeStandardOutput } from './gateway/log-writer.js';
--- a/packages/daemon/src/node/claim-aggregator-driver.ts
+++ b/packages/daemon/src/node/claim-aggregator-driver.ts
@@ -26,10 +26,10 @@
 }
 
 /** Submits a claim. The promise resolves with the reply once its transaction has an outcome. */
-export type TakeClaim = (request: ClaimRequest) => Promise<ClaimReply>;
+export type SubmitClaim = (request: ClaimRequest) => Promise<ClaimReply>;
 
 /** Creates the claim aggregator of this member. */
-export function createClaimAggregator(options: ClaimAggregatorOptions): TakeClaim {
+export function createClaimAggregator(options: ClaimAggregatorOptions): SubmitClaim {
   const { keyValue, telemetry } = options;
   const state = createAggregator();
   const pendingReplies = new Map<string, (reply: ClaimReply) => void>();
@@ -95,6 +95,6 @@
       const callId = String(lastCallNumber);
       pendingReplies.set(callId, resolve);
       telemetry.count('claims_asked_total');
-      handle({ kind: AggregatorEventKind.Asked, callId, request });
+      handle({ kind: AggregatorEventKind.Requested, callId, request });
     });
 }
--- a/packages/daemon/src/node/configuration-driver.ts
+++ b/packages/daemon/src/node/configuration-driver.ts
@@ -26,7 +26,7 @@
   configHeadRead,
   configHeadReadFailed,
   configHints,
-  configHintsHeard,
+  configHintsReceived,
   configWatchEnded,
   createConfigState,
   parseDocument,
@@ -67,11 +67,11 @@
   readonly child: Child;
   readonly state: ConfigState;
   readonly hints: () => Hints;
-  readonly hintsHeard: (from: string, hints: Hints, askedAtMs: number | null) => void;
-  readonly announced: (from: string, params: unknown) => void;
+  readonly receiveHints: (from: string, hints: Hints, askedAtMs: number | null) => void;
+  readonly receiveAnnouncement: (from: string, params: unknown) => void;
   readonly serveFetch: (request: FetchRequest) => Result<FetchAnswer, Failure>;
   /** The reason why new work is rejected, or null while it is accepted. */
-  readonly newWorkRefused: () => string | null;
+  readonly newWorkRejection: () => string | null;
 }
 
 /** Creates the driver. The state exists immediately; ticks run only while the child is started. */
@@ -143,7 +143,7 @@
 
   async function readHead(): Promise<void> {
     options.telemetry.count('key_value_reads_total');
-    const entry = await keyValue.getLate(CONFIGURATION_HEAD_KEY);
+    const entry = await keyValue.getWithLongTimeout(CONFIGURATION_HEAD_KEY);
     perform(
       entry.match(
         (found) => configHeadRead(state, found === null ? null : parseHead(found.value), context()),
@@ -154,7 +154,7 @@
 
   async function readDocument(): Promise<void> {
     options.telemetry.count('key_value_reads_total');
-    const entry = await keyValue.getLate(CONFIGURATION_CURRENT_KEY);
+    const entry = await keyValue.getWithLongTimeout(CONFIGURATION_CURRENT_KEY);
     perform(
       entry.match(
         (found) =>
@@ -191,16 +191,16 @@
   return {
     state,
     hints: () => configHints(state, options.nowMs()),
-    hintsHeard: (from, hints, askedAtMs) => {
-      perform(configHintsHeard(state, from, hints, askedAtMs, context()));
+    receiveHints: (from, hints, askedAtMs) => {
+      perform(configHintsReceived(state, from, hints, askedAtMs, context()));
     },
-    announced: (from, params) => {
+    receiveAnnouncement: (from, params) => {
       const version: unknown = Array.isArray(params) ? params[0] : null;
       if (typeof version !== 'number') return;
       perform(configAnnounced(state, from, version, context()));
     },
     serveFetch: (request) => serveConfigFetch(state, request),
-    newWorkRefused: () => rejectionReason,
+    newWorkRejection: () => rejectionReason,
     child: {
       ...ticks,
       stop: async () => {
--- a/packages/daemon/src/node/control-server.ts
+++ b/packages/daemon/src/node/control-server.ts
@@ -116,7 +116,7 @@
     answerJson(response, 401, NOT_A_MEMBER.of(undefined));
     return;
   }
-  options.clock.hear(request.headers[HYBRID_TIME_HEADER]);
+  options.clock.receiveTimestamp(request.headers[HYBRID_TIME_HEADER]);
   response.setHeader(HYBRID_TIME_HEADER, options.clock.now());
   if (request.method === 'GET' && request.url === METRICS_PATH) {
     response.writeHead(200, { 'content-type': 'text/plain; version=0.0.4' });
--- a/packages/daemon/src/node/holder-driver.ts
+++ b/packages/daemon/src/node/holder-driver.ts
@@ -16,11 +16,11 @@
   type PlacedMembers,
   createHolder,
   createRepair,
-  handleHolderCallAt,
+  handleHolderCallWithRepair,
   onRepairReply,
   scheduleRepair,
   sweepHolder,
-  takePlaced,
+  updatePlacedMembers,
   tickRepair,
 } from '@cassiamast/coordination';
 import { ResultAsync, okAsync } from 'neverthrow';
@@ -70,7 +70,7 @@
   function answer(call: HolderCall): HolderReply {
     const { selfId, holdersOf: holdersOfKey } = options;
     const place = { holder: state, repair, selfId, holdersOfKey };
-    return handleHolderCallAt(place, call, holderOptions(), options.nowMs());
+    return handleHolderCallWithRepair(place, call, holderOptions(), options.nowMs());
   }
 
   const callHolder: CallHolder = (to, call) => {
@@ -138,7 +138,7 @@
       [HolderCallKind.Read]: handler,
     },
     placementChanged: () => {
-      const renewed = takePlaced(placed, options.placed());
+      const renewed = updatePlacedMembers(placed, options.placed());
       if (renewed !== null) scheduleRepair(repair, state, options.nowMs(), renewed);
     },
     child: createPeriodic('records', () => TICK_MS, tick),
--- a/packages/daemon/src/node/key-value-outages.ts
+++ b/packages/daemon/src/node/key-value-outages.ts
@@ -5,8 +5,8 @@
 import {
   createOutageWatch,
   EventKind,
-  noteFailure,
-  noteSuccess,
+  recordCallFailure,
+  recordCallSuccess,
   OutageChange,
   type Failure,
   type OutageWatch,
@@ -19,7 +19,7 @@
 type Observe = <Value>(call: ResultAsync<Value, Failure>) => ResultAsync<Value, Failure>;
 
 /** Wraps the client so that the start and end of an outage are reported. */
-export function tellOutages(
+export function reportOutages(
   client: KeyValueClient,
   emit: Telemetry['emit'],
   nowMs: ReadClock,
@@ -50,7 +50,7 @@
 
 function recordSuccess(outageWatch: OutageWatch, emit: Telemetry['emit'], nowMs: number): void {
   const { outSinceMs } = outageWatch;
-  if (noteSuccess(outageWatch) !== OutageChange.Ended || outSinceMs === null) return;
+  if (recordCallSuccess(outageWatch) !== OutageChange.Ended || outSinceMs === null) return;
   const figures = { outMs: Math.round(nowMs - outSinceMs) };
   emit({ kind: EventKind.KeyValueBack, reason: 'a call was answered again', figures });
 }
@@ -61,7 +61,7 @@
   nowMs: number,
   failure: Failure,
 ): void {
-  if (noteFailure(outageWatch, nowMs) !== OutageChange.Began) return;
-  const figures = { failures: outageWatch.failuresInRow };
+  if (recordCallFailure(outageWatch, nowMs) !== OutageChange.Began) return;
+  const figures = { failures: outageWatch.consecutiveFailures };
   emit({ kind: EventKind.KeyValueOutage, reason: failure.message, figures });
 }
--- a/packages/daemon/src/node/membership-driver.ts
+++ b/packages/daemon/src/node/membership-driver.ts
@@ -114,7 +114,7 @@
         options.onMembers(member);
         return;
       }
-      case MembershipEffectKind.HintsHeard:
+      case MembershipEffectKind.HintsReceived:
         options.onHints(effect.from, effect.hints, effect.askedAtMs);
         return;
       case MembershipEffectKind.Refused:
--- a/packages/daemon/src/node/poison-driver.ts
+++ b/packages/daemon/src/node/poison-driver.ts
@@ -6,7 +6,7 @@
 import {
   DEFAULT_POISON_OPTIONS,
   type LedgerSnapshot,
-  LoneProbe,
+  LoneRunStatus,
   type Member,
   type PoisonEffect,
   PoisonEffectKind,
@@ -18,13 +18,13 @@
   type Random,
   type Suspicion,
   snapshotOf,
-  readLedger,
+  mergeLedger,
   clearSuspicion,
   createPoisonClient,
   createSuspicionTable,
   handlePoisonEvent,
   ledgerPrefixOf,
-  noteCrashes,
+  recordCrashes,
   parseLedgerEntry,
   suspicionOf,
 } from '@cassiamast/coordination';
@@ -68,12 +68,12 @@
 /** Access to the ledger and to the suspicions of this process. */
 export interface PoisonDriver {
   readonly child: Child;
-  readonly ask: (id: string, work: PoisonWork) => void;
+  readonly submitWork: (id: string, work: PoisonWork) => void;
   readonly suspicionOf: (bodyHash: string) => Suspicion;
   /** Records a crash that this process observed, before the ledger contains it. */
   readonly noteCrash: (bodyHash: string, attemptId: string) => void;
   /** Applies a suspicion that arrived in a datagram. */
-  readonly heard: (params: unknown) => void;
+  readonly receiveSuspicion: (params: unknown) => void;
   /** Returns the known suspicions for a peer that can't read the ledger. */
   readonly answerRead: () => SuspicionAnswer;
   /** Reads the ledger of these services, so that a new process runs no known suspect in a batch. */
@@ -139,17 +139,19 @@
     const { loneRun, id } = effect;
     const { attemptId, sidecarIncarnation, place } = loneRun;
     const message: ProbeMessage = { attemptId, sidecarIncarnation };
-    const answer = await rpc.call<LoneProbe>(place.sidecar, RpcMethod.LoneRunProbe, message, {
+    const answer = await rpc.call<LoneRunStatus>(place.sidecar, RpcMethod.LoneRunProbe, message, {
       timeoutMs: PROBE_TIMEOUT_MS,
     });
     // A sidecar that does not answer but is not known to be dead may be paused during the run.
-    const unansweredProbe = options.mayBeAlive(place.sidecar) ? LoneProbe.Running : LoneProbe.Gone;
+    const unansweredProbe = options.mayBeAlive(place.sidecar)
+      ? LoneRunStatus.Running
+      : LoneRunStatus.Gone;
     handle({ kind: PoisonEventKind.Probed, id, probe: answer.unwrapOr(unansweredProbe) });
   }
 
   function applySuspicion(bodyHash: string, crashedAttemptIds: readonly string[]): void {
     const isSuspect = crashedAttemptIds.length > 0;
-    if (isSuspect) noteCrashes(suspicions, bodyHash, crashedAttemptIds, false);
+    if (isSuspect) recordCrashes(suspicions, bodyHash, crashedAttemptIds, false);
     else clearSuspicion(suspicions, bodyHash);
     options.onSuspicion(bodyHash, isSuspect);
   }
@@ -167,7 +169,7 @@
     for (const service of services) {
       telemetry.count('key_value_reads_total');
       const prefix = ledgerPrefixOf(service);
-      const entries = await keyValue.listLate(prefix, MAX_SUSPICIONS);
+      const entries = await keyValue.listWithLongTimeout(prefix, MAX_SUSPICIONS);
       if (entries.isErr()) return null;
       for (const entry of entries.value) {
         ledger.set(entry.key.slice(prefix.length), parseLedgerEntry(entry).crashedAttemptIds);
@@ -195,7 +197,7 @@
   }
 
   function applyLedger(ledger: LedgerSnapshot, service: string | null): void {
-    const { cleared, unwritten } = readLedger(suspicions, ledger);
+    const { cleared, unwritten } = mergeLedger(suspicions, ledger);
     for (const [bodyHash] of ledger) options.onSuspicion(bodyHash, true);
     for (const bodyHash of cleared) options.onSuspicion(bodyHash, false);
     if (service === null) return;
@@ -203,21 +205,21 @@
       for (const attemptId of attemptIds) {
         const kind = PoisonWorkKind.ReportCrash;
         const work: PoisonWork = { kind, service, bodyHash, attemptId };
-        handle({ kind: PoisonEventKind.Asked, id: `${attemptId}|again`, work });
+        handle({ kind: PoisonEventKind.Requested, id: `${attemptId}|again`, work });
       }
     }
   }
 
   return {
-    ask: (id, work) => {
-      handle({ kind: PoisonEventKind.Asked, id, work });
+    submitWork: (id, work) => {
+      handle({ kind: PoisonEventKind.Requested, id, work });
     },
     suspicionOf: (bodyHash) =>
       suspicionOf(suspicions, bodyHash, DEFAULT_POISON_OPTIONS.isConvicted),
     noteCrash: (bodyHash, attemptId) => {
       applySuspicion(bodyHash, [attemptId]);
     },
-    heard: (params) => {
+    receiveSuspicion: (params) => {
       const [bodyHash, attemptIds] = Array.isArray(params) ? (params as unknown[]) : [];
       if (typeof bodyHash !== 'string' || !Array.isArray(attemptIds)) return;
       applySuspicion(bodyHash, attemptIds.map(String));
--- a/packages/daemon/src/node/process-status.ts
+++ b/packages/daemon/src/node/process-status.ts
@@ -38,7 +38,7 @@
     startedAtWallMs: options.startedAtWallMs,
     configurationVersion: options.configuration.state.inForce?.version ?? 0,
     configurationSinceWallMs: options.configurationSinceWallMs(),
-    doubt: options.configuration.newWorkRefused() !== null,
+    doubt: options.configuration.newWorkRejection() !== null,
     stopping: options.isStopping(),
     membersByState: countStates(members),
     ...(query.withMembers ? { members: members.map(toMemberStatus) } : {}),
--- a/packages/daemon/src/node/rpc-client.ts
+++ b/packages/daemon/src/node/rpc-client.ts
@@ -6,9 +6,9 @@
 import {
   type HttpRequest,
   type HttpTransport,
-  type Trouble,
+  type ExchangeFailure,
   createHttpTransport,
-  isTrouble,
+  isExchangeFailure,
   parseJsonObject,
 } from '@cassiamast/ports';
 import { createParser, type EventSourceMessage } from 'eventsource-parser';
@@ -93,8 +93,8 @@
       const request = requestOf(member, RPC_PATH, method, params);
       const limits = { timeoutMs: options.timeoutMs, maxAnswerBytes: MAX_ANSWER_BYTES };
       return ResultAsync.fromSafePromise(transport.exchange(request, limits)).andThen((outcome) => {
-        if (isTrouble(outcome)) return errAsync(unreachable(member, method, outcome));
-        clock.hear(outcome.headers[HYBRID_TIME_HEADER]);
+        if (isExchangeFailure(outcome)) return errAsync(unreachable(member, method, outcome));
+        clock.receiveTimestamp(outcome.headers[HYBRID_TIME_HEADER]);
         return unwrap<Answer>(outcome.body, member, method);
       });
     },
@@ -114,7 +114,7 @@
   request: HttpRequest,
   handlers: MemberStreamHandlers,
   clock: MessageClock,
-  failureOf: (trouble: Pick<Trouble, 'mayHaveRun' | 'detail'>) => Failure,
+  failureOf: (trouble: Pick<ExchangeFailure, 'mayHaveRun' | 'detail'>) => Failure,
 ): MemberStream {
   const rejectionBody: Buffer[] = [];
   const decoder = new TextDecoder();
@@ -133,7 +133,7 @@
   const openStream = transport.stream(request, {
     onStart: (status, headers) => {
       isRejected = status !== OK;
-      clock.hear(headers[HYBRID_TIME_HEADER]);
+      clock.receiveTimestamp(headers[HYBRID_TIME_HEADER]);
     },
     onData: (chunk) => {
       if (isRejected) {
@@ -156,7 +156,7 @@
       const failure = parseFailure(Buffer.concat(rejectionBody));
       handlers.onFailure(failure ?? failureOf({ mayHaveRun: false, detail: 'refused' }));
     },
-    onTrouble: (trouble) => {
+    onFailure: (trouble) => {
       if (ended) return;
       ended = true;
       handlers.onFailure(failureOf(trouble));
@@ -208,7 +208,7 @@
 function unreachable(
   member: string,
   method: string,
-  { mayHaveRun, detail }: Pick<Trouble, 'mayHaveRun' | 'detail'>,
+  { mayHaveRun, detail }: Pick<ExchangeFailure, 'mayHaveRun' | 'detail'>,
 ): Failure {
   return MEMBER_UNREACHABLE.of({ member, method, cause: detail, mayHaveRun });
 }
--- a/packages/daemon/src/node/run-process.ts
+++ b/packages/daemon/src/node/run-process.ts
@@ -34,14 +34,14 @@
 export type OnFailure = (failure: Failure) => void;
 
 /** Withdraws what a process has announced to others before it finished starting. */
-export type TakeBack = () => Promise<void>;
+export type WithdrawAnnouncements = () => Promise<void>;
 
 /** How a process starts, stops and reports. */
 export interface ProcessOptions {
   /** `onTold` registers what a stop must withdraw if it comes before `start` resolves. */
   readonly start: (
     onFailure: OnFailure,
-    onTold: (withdraw: TakeBack) => void,
+    onTold: (withdraw: WithdrawAnnouncements) => void,
   ) => Promise<StoppableProcess>;
   /** Whether the process may have work before `start` resolves; a stop then waits for the start. */
   readonly worksWhileStarting: boolean;
@@ -60,7 +60,7 @@
   let running: StoppableProcess | null = null;
   let code = ExitCode.Stopped;
   let stopReason: StopReason | null = null;
-  let withdraw: TakeBack = () => Promise.resolve();
+  let withdraw: WithdrawAnnouncements = () => Promise.resolve();
 
   function stop(reason: StopReason): void {
     if (stopReason !== null) return;
--- a/packages/daemon/src/node/standstill.ts
+++ b/packages/daemon/src/node/standstill.ts
@@ -16,7 +16,7 @@
 const TURNS_TO_CLOSE = 4;
 
 /** Detects stalls of this process. */
-export interface StandstillWatch {
+export interface StallWatch {
   readonly child: Child;
   /**
    * Returns since when events that are read now may have been pending: the time of the last turn
@@ -37,10 +37,10 @@
 }
 
 /** Creates the watch; `onStandstill` receives the duration of each stall. */
-export function createStandstillWatch(
+export function createStallWatch(
   nowMs: () => number,
   onStandstill: (forMs: number) => void,
-): StandstillWatch {
+): StallWatch {
   let timer: NodeJS.Timeout | null = null;
   let ranAtMs = nowMs();
   /** The time of the last turn before the last stall, and until when the process catches up. */
--- a/packages/daemon/src/node/timeline.ts
+++ b/packages/daemon/src/node/timeline.ts
@@ -27,7 +27,7 @@
   /** Returns the timestamp to send with a message. */
   readonly now: () => string;
   /** Merges the timestamp of a received message into the clock; ignores a malformed one. */
-  readonly hear: (header: string | string[] | undefined) => void;
+  readonly receiveTimestamp: (header: string | string[] | undefined) => void;
 }
 
 /** The part of the answer to `timeline.read` that comes from the ring buffer. */
@@ -58,7 +58,7 @@
     },
     clock: {
       now: () => writeHybridTime(tickHybridClock(clock, wallMs())),
-      hear: (header) => {
+      receiveTimestamp: (header) => {
         const time = typeof header === 'string' ? readHybridTime(header) : null;
         if (time !== null) mergeHybridTime(clock, time, wallMs());
       },
--- a/packages/daemon/src/node/traffic-meter.ts
+++ b/packages/daemon/src/node/traffic-meter.ts
@@ -20,7 +20,7 @@
 export interface TrafficMeter {
   readonly read: () => TrafficCounts;
   /** Excludes the sockets to a port, such as that of the engine on the same VM. */
-  readonly leaveOut: (remotePort: number) => void;
+  readonly excludePort: (remotePort: number) => void;
   readonly stop: () => void;
 }
 
@@ -60,7 +60,7 @@
       }
       return { receivedBytes: withHeaders(receivedNow), sentBytes: withHeaders(sentNow) };
     },
-    leaveOut: (remotePort) => {
+    excludePort: (remotePort) => {
       excludedPorts.add(remotePort);
     },
     stop: () => {
--- a/packages/daemon/src/planning/order-driver.ts
+++ b/packages/daemon/src/planning/order-driver.ts
@@ -12,7 +12,7 @@
   type OrderReport,
   type OrderState,
   type Ticket,
-  giveOrder,
+  startOrder,
   orderReported,
   submissionAnswered,
   submissionLost,
@@ -147,7 +147,7 @@
   }
 
   function issueOrder(): void {
-    const issued = giveOrder(randomUUID(), fence, options.body, context());
+    const issued = startOrder(randomUUID(), fence, options.body, context());
     state = issued.state;
     perform(issued.effects);
   }
--- a/packages/daemon/src/planning/planning.ts
+++ b/packages/daemon/src/planning/planning.ts
@@ -50,9 +50,9 @@
 /** Planning of one entry with its periodic tasks. */
 export interface Planning {
   readonly children: readonly Child[];
-  readonly noteLoad: (load: ReceivedLoad) => void;
+  readonly recordMissingLoad: (load: ReceivedLoad) => void;
   /** Accepts a demand report received in a datagram; ignores it if it is malformed. */
-  readonly heardDemand: (params: unknown) => void;
+  readonly acceptDemandReport: (params: unknown) => void;
   /** Services for which this entry is the planner candidate and needs all load reports. */
   readonly plannedServices: () => readonly string[];
   readonly authorityOf: (service: string) => { readonly fence: number } | null;
@@ -166,10 +166,10 @@
       createPeriodic('leases', () => TICK_INTERVAL_MS, tick),
       createPeriodic('planning', () => PLAN_INTERVAL_MS, plan),
     ],
-    noteLoad: ({ report, missing }) => {
+    recordMissingLoad: ({ report, missing }) => {
       for (const { planner } of planned.values()) planner.setMissingLoad(report.target, missing);
     },
-    heardDemand: (params) => {
+    acceptDemandReport: (params) => {
       const received = decodeDemand(params, options.nowMs());
       if (received !== null) planned.get(received.service)?.planner.recordDemand(received.report);
     },
--- a/packages/daemon/src/planning/service-planner.ts
+++ b/packages/daemon/src/planning/service-planner.ts
@@ -13,7 +13,7 @@
   LOAD_OPTIONS,
   LoadOutcome,
   type LoadState,
-  type LoadWish,
+  type LoadRequest,
   type PlannerTarget,
   type Random,
   type RolePlanner,
@@ -143,7 +143,7 @@
       service: spec.name,
       target,
       forced: false,
-      askedAtMs: options.nowMs(),
+      requestedAtMs: options.nowMs(),
     };
     return admitChanges([snapshot], [request], new Set(inFlight.keys())).admitted.length > 0;
   }
@@ -197,7 +197,7 @@
     for (const load of planLoads(loads, requests, status.value, context)) issueLoad(spec, load);
   }
 
-  function findRequestedLoads(spec: ServiceSpec): readonly LoadWish[] {
+  function findRequestedLoads(spec: ServiceSpec): readonly LoadRequest[] {
     return spec.targets.flatMap((target) => {
       const load = missing.get(target.name);
       if (load === undefined || inFlight.has(target.name) || !directory.isOpen(target)) return [];
@@ -213,7 +213,7 @@
     });
   }
 
-  function issueLoad(spec: ServiceSpec, load: LoadWish): void {
+  function issueLoad(spec: ServiceSpec, load: LoadRequest): void {
     const target = spec.targets.find((one) => one.name === load.target);
     if (target === undefined) return;
     const { model, version, adapter } = load;
--- a/packages/daemon/src/protocol/stream.ts
+++ b/packages/daemon/src/protocol/stream.ts
@@ -22,11 +22,11 @@
   readonly seed: number;
   readonly priority: number;
   /** Engine that runs the prefill and transfers its KV cache; null to run it at the target. */
-  readonly reader: PrefillPlace | null;
+  readonly reader: PrefillLocation | null;
 }
 
 /** Location of the engine that runs the prefill for another engine. */
-export interface PrefillPlace {
+export interface PrefillLocation {
   readonly sidecar: string;
   readonly target: string;
   /** Base URL of the prefill engine, from which the decode engine fetches the KV cache. */
--- a/packages/daemon/src/sidecar/engine-backend.ts
+++ b/packages/daemon/src/sidecar/engine-backend.ts
@@ -42,7 +42,7 @@
 
 /** A backend that also receives the engine's epoch, which the load reporter reads. */
 export interface EngineBackend extends Backend {
-  readonly noteEpoch: (epoch: string) => void;
+  readonly recordEpoch: (epoch: string) => void;
 }
 
 /** Creates the backend of one engine. */
@@ -150,7 +150,7 @@
   }
 
   return {
-    noteEpoch: (reportedEpoch) => {
+    recordEpoch: (reportedEpoch) => {
       epoch = reportedEpoch;
     },
     start: (attempt, payload, continueFrom) => {
--- a/packages/daemon/src/sidecar/host-driver.ts
+++ b/packages/daemon/src/sidecar/host-driver.ts
@@ -18,7 +18,7 @@
   type HostEvent,
   HostEventKind,
   type HostState,
-  type LoneProbe,
+  type LoneRunStatus,
   type OpenSessionMessage,
   type ProbeMessage,
   cancelHosted,
@@ -169,7 +169,7 @@
     // During an outage of the store the attempt machine repeats the check by itself.
     if (stored.isErr()) return;
     const stands = parseLoneRun(stored.value)?.attemptId === attemptId;
-    handle({ kind: HostEventKind.LoneRunChecked, attemptId, stands });
+    handle({ kind: HostEventKind.LoneRunChecked, attemptId, isCurrentLoneRun: stands });
   }
 
   async function callHolder(
@@ -221,7 +221,7 @@
     return outcome;
   }
 
-  const probe = (message: ProbeMessage): LoneProbe => probeLoneRun(state, message, context());
+  const probe = (message: ProbeMessage): LoneRunStatus => probeLoneRun(state, message, context());
 
   return {
     state,
--- a/packages/daemon/src/wiring/start-process.ts
+++ b/packages/daemon/src/wiring/start-process.ts
@@ -20,7 +20,7 @@
 import { createKeyValueClient } from '@cassiamast/ports';
 import { formatAddress } from '../node/address.js';
 import { SYSTEM_CLOCKS } from '../node/clocks.js';
-import { tellOutages } from '../node/key-value-outages.js';
+import { reportOutages } from '../node/key-value-outages.js';
 import { createLog } from '../node/logging.js';
 import { createRpcClient } from '../node/rpc-client.js';
 import { createMemberProof } from '../node/secret.js';
@@ -62,7 +62,7 @@
     log: createLog(settings.logLevel, memberId, (line) => process.stderr.write(line)),
     proof,
     rpc: createRpcClient(proof, timeline.clock),
-    keyValue: tellOutages(client, telemetry.emit, SYSTEM_CLOCKS.monotonicMs),
+    keyValue: reportOutages(client, telemetry.emit, SYSTEM_CLOCKS.monotonicMs),
     telemetry,
     timeline,
     traffic,
--- a/packages/daemon/src/wiring/wire-entry.ts
+++ b/packages/daemon/src/wiring/wire-entry.ts
@@ -5,9 +5,9 @@
 import { randomUUID } from 'node:crypto';
 import {
   type Configuration,
-  DEFAULT_DRIVE_OPTIONS,
-  type DriveContext,
-  type DriveRequest,
+  DEFAULT_REQUEST_MACHINE_OPTIONS,
+  type RequestContext,
+  type CallerRequest,
   EventKind,
   MemberKind,
   type RetryBudget,
@@ -20,11 +20,11 @@
 import { createCallerServer } from '../entry/caller-server.js';
 import { createClaimDriver } from '../entry/claim-driver.js';
 import { createContacts } from '../entry/contacts.js';
-import { createEntryFigures } from '../entry/entry-figures.js';
+import { createEntryCounters } from '../entry/entry-figures.js';
 import { readServices } from '../entry/entry-status.js';
 import { createLoadSubscriptions } from '../entry/load-subscriptions.js';
 import { createPolicies } from '../entry/policies.js';
-import { MAX_RUNS, createRequests } from '../entry/requests.js';
+import { MAX_ACTIVE_REQUESTS, createRequests } from '../entry/requests.js';
 import type { RunServices } from '../entry/run-services.js';
 import { createSessionDriver } from '../entry/session-driver.js';
 import { setTargetGauges } from '../entry/target-gauges.js';
@@ -83,7 +83,7 @@
   const startedAtMs = nowMs();
 
   const contacts = createContacts({ nowMs, hash32: hashing.hash32, horizonMs });
-  const figures = createEntryFigures(telemetry);
+  const figures = createEntryCounters(telemetry);
 
   const member = wireMember(context, settings, {
     kind: MemberKind.Entry,
@@ -103,7 +103,7 @@
     },
     onSuspicion: () => undefined,
     onDatagram: (_from, method, params) => {
-      if (method === (RpcMethod.DemandReport as string)) planning.heardDemand(params);
+      if (method === (RpcMethod.DemandReport as string)) planning.acceptDemandReport(params);
       else if (method === (RpcMethod.LoadReport as string)) handleLoadReport(params);
     },
   });
@@ -151,10 +151,10 @@
     poison: member.poison,
     callHolder: member.holder.callHolder,
     policyOf: policies.of,
-    noteLoad: handleLoadReport,
-    driveContext,
-    noteAnswered: figures.answered,
-    noteRefused: figures.refused,
+    acceptLoadReport: handleLoadReport,
+    requestContext: createRequestContext,
+    recordAnswer: figures.answered,
+    recordRefusal: figures.refused,
   };
 
   const requests = createRequests({
@@ -172,21 +172,22 @@
   function retryBudgetOf(service: string): { budget: RetryBudget; options: RetryOptions } {
     const existing = budgets.get(service);
     if (existing !== undefined) return existing;
-    const ratio = directory.service(service)?.retryBudgetRatio ?? DEFAULT_DRIVE_OPTIONS.retry.ratio;
-    const options = { ...DEFAULT_DRIVE_OPTIONS.retry, ratio };
+    const ratio =
+      directory.service(service)?.retryBudgetRatio ?? DEFAULT_REQUEST_MACHINE_OPTIONS.retry.ratio;
+    const options = { ...DEFAULT_REQUEST_MACHINE_OPTIONS.retry, ratio };
     const created = { budget: createRetryBudget(options), options };
     budgets.set(service, created);
     return created;
   }
 
-  function driveContext(request: DriveRequest, keyIsFresh: boolean): DriveContext {
+  function createRequestContext(request: CallerRequest, keyIsFresh: boolean): RequestContext {
     const { budget, options } = retryBudgetOf(request.service);
     return {
       nowMs: nowMs(),
       random,
       hash32: hashing.hash32,
       entryId: context.memberId,
-      options: { ...DEFAULT_DRIVE_OPTIONS, retry: options },
+      options: { ...DEFAULT_REQUEST_MACHINE_OPTIONS, retry: options },
       budget,
       holders: (without) => member.placement.holdersOf(request.keyText, without),
       isLive: member.mayBeAlive,
@@ -224,8 +225,8 @@
   function handleLoadReport(params: unknown): void {
     const load = decodeLoad(params, nowMs());
     if (load === null) return;
-    policies.noteLoad(load.report);
-    planning.noteLoad(load);
+    policies.acceptLoadReport(load.report);
+    planning.recordMissingLoad(load);
   }
 
   /**
@@ -241,7 +242,7 @@
 
   function notServingReason(): string | null {
     if (isStopped) return 'it is shutting down';
-    const refusalReason = member.configuration.newWorkRefused();
+    const refusalReason = member.configuration.newWorkRejection();
     return refusalReason === null && !hasJoined()
       ? 'it has not met its targets yet'
       : refusalReason;
@@ -283,7 +284,7 @@
     notServingReason,
     isLeaving: () => isLeaving,
     makeKey: randomUUID,
-    onTurnedAway: (idempotencyKey, reason) => {
+    onRejected: (idempotencyKey, reason) => {
       telemetry.count('requests_turned_away_total');
       // The workspace is not known yet, so the event carries the caller's idempotency key unchanged.
       const request = idempotencyKey === null ? {} : { request: idempotencyKey };
@@ -342,7 +343,7 @@
         'shedding',
         () => SHEDDING_INTERVAL_MS,
         () => {
-          policies.shed(requests.count() / MAX_RUNS);
+          policies.shed(requests.count() / MAX_ACTIVE_REQUESTS);
         },
       ),
       callers.child,
--- a/packages/daemon/src/wiring/wire-member.ts
+++ b/packages/daemon/src/wiring/wire-member.ts
@@ -24,7 +24,7 @@
   randomBelow,
 } from '@cassiamast/coordination';
 import type { Result } from 'neverthrow';
-import { type TakeClaim, createClaimAggregator } from '../node/claim-aggregator-driver.js';
+import { type SubmitClaim, createClaimAggregator } from '../node/claim-aggregator-driver.js';
 import {
   type ConfigurationDriver,
   createConfigurationDriver,
@@ -56,7 +56,7 @@
   readonly datagrams: Datagrams;
   readonly placement: PlacementDriver;
   readonly holder: HolderDriver;
-  readonly takeClaim: TakeClaim;
+  readonly takeClaim: SubmitClaim;
   readonly poison: PoisonDriver;
   /** Whether the member is known and not dead. */
   readonly isLive: (memberId: string) => boolean;
@@ -88,9 +88,10 @@
   let appliedSinceWallMs = 0;
 
   const datagrams = createDatagrams(settings.control, context.proof, (from, method, params) => {
-    if (method === (RpcMethod.ConfigAnnounce as string)) configuration.announced(from, params);
+    if (method === (RpcMethod.ConfigAnnounce as string))
+      configuration.receiveAnnouncement(from, params);
     else if (method.startsWith(MEMBERSHIP_PREFIX)) membership.receive(from, method, params);
-    else if (method === (RpcMethod.SuspicionNote as string)) poison.heard(params);
+    else if (method === (RpcMethod.SuspicionNote as string)) poison.receiveSuspicion(params);
     else hooks.onDatagram(from, method, params);
   });
 
@@ -111,7 +112,7 @@
     telemetry,
     hints: () => configuration.hints(),
     onHints: (from, hints, askedAtMs) => {
-      configuration.hintsHeard(from, hints, askedAtMs);
+      configuration.receiveHints(from, hints, askedAtMs);
     },
     onMembers: (changed) => {
       placement.membersChanged();
--- a/packages/daemon/src/wiring/wire-sidecar.ts
+++ b/packages/daemon/src/wiring/wire-sidecar.ts
@@ -95,7 +95,7 @@
     reportCrash: (service, suspects) => {
       for (const { attemptId, bodyHash } of suspects) {
         const kind = PoisonWorkKind.ReportCrash;
-        member.poison.ask(`${attemptId}|crash`, { kind, service, bodyHash, attemptId });
+        member.poison.submitWork(`${attemptId}|crash`, { kind, service, bodyHash, attemptId });
       }
     },
   });
@@ -107,7 +107,7 @@
     accepting: () => !host.state.draining,
     wantedModels: () => findService(configuration, localTarget)?.models ?? [],
     onRead: (epoch) => {
-      engineBackend?.noteEpoch(epoch);
+      engineBackend?.recordEpoch(epoch);
       void reportInheritedStreams();
     },
     sendDatagram: member.datagrams.send,
@@ -144,7 +144,7 @@
 
   function createBackend(found: LocalTarget): Backend {
     // The engine runs on the same VM, so traffic to it is not control traffic on the network.
-    context.traffic.leaveOut(found.spec.backend.port);
+    context.traffic.excludePort(found.spec.backend.port);
     const address = `http://${formatAddress(found.spec.backend)}`;
     if (found.kind === TargetKind.PlainService) {
       const inherited = { count: 0, mayBeLone: false };
--- a/packages/fuzz/src/worlds/changes/targets.ts
+++ b/packages/fuzz/src/worlds/changes/targets.ts
@@ -135,7 +135,7 @@
     service: 'service',
     target: target.name,
     forced,
-    askedAtMs: simulation.scheduler.nowMs,
+    requestedAtMs: simulation.scheduler.nowMs,
   });
 }
 
--- a/packages/fuzz/src/worlds/limits/simulation.ts
+++ b/packages/fuzz/src/worlds/limits/simulation.ts
@@ -4,7 +4,7 @@
   Random,
   RateLimiter,
   lendShare,
-  noteBorrowed,
+  recordBorrowedShare,
 } from '@cassiamast/coordination';
 import type { FaultCounts } from '../../kit/faults.js';
 import type { Scheduler } from '../../kit/scheduler.js';
@@ -17,7 +17,7 @@
 /** The guards of all gateways. */
 export interface LimitsOptions {
   readonly lend: typeof lendShare;
-  readonly noteBorrowed: typeof noteBorrowed;
+  readonly noteBorrowed: typeof recordBorrowedShare;
 }
 
 /** One gateway. */
--- a/packages/fuzz/src/worlds/limits/world.ts
+++ b/packages/fuzz/src/worlds/limits/world.ts
@@ -3,7 +3,12 @@
  * together, and most of it, over the real limits, shares and permits. Gateways disagree on who
  * decides, lose each other, stand still and are killed; messages are late and lost.
  */
-import { lendShare, noteBorrowed, seededRandom, usableShare } from '@cassiamast/coordination';
+import {
+  lendShare,
+  recordBorrowedShare,
+  seededRandom,
+  usableShare,
+} from '@cassiamast/coordination';
 import fc from 'fast-check';
 import { countFault } from '../../kit/faults.js';
 import { advance, createScheduler, schedule } from '../../kit/scheduler.js';
@@ -36,7 +41,7 @@
 /** Guards that can be taken away. */
 export const LIMITS_MUTANTS: Readonly<Record<string, LimitsOptions>> = {
   'lends-while-lent': {
-    noteBorrowed,
+    noteBorrowed: recordBorrowedShare,
     lend: (shares, service, ...rest) => {
       shares.loans.delete(service);
       return lendShare(shares, service, ...rest);
@@ -45,13 +50,13 @@
   'loans-counted-from-answer': {
     lend: lendShare,
     noteBorrowed: (shares, service, lender, fraction, askedAtMs) => {
-      noteBorrowed(shares, service, lender, fraction, askedAtMs + WINDOW_MS);
+      recordBorrowedShare(shares, service, lender, fraction, askedAtMs + WINDOW_MS);
     },
   },
 };
 
 function create(setup: WorldSetup): Simulation {
-  const guarded: LimitsOptions = { lend: lendShare, noteBorrowed };
+  const guarded: LimitsOptions = { lend: lendShare, noteBorrowed: recordBorrowedShare };
   const simulation: Simulation = {
     scheduler: createScheduler(),
     random: seededRandom(setup.seed),
--- a/packages/fuzz/src/worlds/requests/callers.ts
+++ b/packages/fuzz/src/worlds/requests/callers.ts
@@ -1,7 +1,7 @@
 /**
  * Simulated callers: they send, break off, come back through any entry, and send again.
  */
-import { DriveEventKind, createDrive, parseEventId } from '@cassiamast/coordination';
+import { RequestEventKind, createRequestMachine, parseEventId } from '@cassiamast/coordination';
 import { countFault } from '../../kit/faults.js';
 import { ProcessStatus } from '../../kit/processes.js';
 import { feedDrive } from './entry.js';
@@ -57,7 +57,7 @@
   const incarnation = String(node.memory.incarnation);
   const id = `${node.id}#${incarnation}${CALLER_SEPARATOR}${String(connection.id)}`;
   const resume = reading.lastEventId === null ? null : parseEventId(reading.lastEventId);
-  const drive = createDrive(
+  const drive = createRequestMachine(
     id,
     {
       keyText,
@@ -72,7 +72,7 @@
     simulation.scheduler.nowMs,
   );
   node.memory.drives.set(id, drive);
-  feedDrive(simulation, node, drive, { kind: DriveEventKind.CallerArrived });
+  feedDrive(simulation, node, drive, { kind: RequestEventKind.CallerArrived });
 }
 
 /** Breaks a caller's connection; its request goes on. */
@@ -85,7 +85,7 @@
     if (node === undefined || !drive.id.endsWith(`${CALLER_SEPARATOR}${String(connection.id)}`)) {
       continue;
     }
-    feedDrive(simulation, node, drive, { kind: DriveEventKind.CallerGone });
+    feedDrive(simulation, node, drive, { kind: RequestEventKind.CallerGone });
   }
 }
 
