--- a/packages/fuzz/src/worlds/requests/membership.ts
+++ b/packages/fuzz/src/worlds/requests/membership.ts
@@ -4,7 +4,7 @@
  * through others, for the detection time; news of its return come at once.
  */
 import { createPlacement, holdersOf } from '@cassiamast/coordination';
-import type { ContactHistory, HolderPlace } from '@cassiamast/coordination';
+import type { ContactHistory, HolderWithRepair } from '@cassiamast/coordination';
 import { linkIsUp } from '../../kit/network.js';
 import { ProcessStatus } from '../../kit/processes.js';
 import type { SimulatedNode, Simulation, ViewEntry } from './simulation.js';
@@ -71,7 +71,7 @@
     } else if (nowMs - entry.lastReachedMs > DETECTION_MS) {
       changed = entry.isLive || changed;
       entry.isLive = false;
-      entry.lastAwayAtMs = nowMs;
+      entry.lastOutOfContactAtMs = nowMs;
     }
   }
   if (changed) renewPlacement(simulation, node);
@@ -84,7 +84,7 @@
   if (isNew) {
     entry.incarnation = other.slot.incarnation;
     entry.seenSinceMs = nowMs;
-    entry.lastAwayAtMs = nowMs;
+    entry.lastOutOfContactAtMs = nowMs;
   }
   entry.isLive = true;
   entry.lastReachedMs = nowMs;
@@ -108,13 +108,13 @@
     const entry = node.memory.view.get(other.id);
     if (entry === undefined) return [];
     const { id, failureDomain, isEntry } = other;
-    const { seenSinceMs, lastAwayAtMs } = entry;
-    return [{ id, failureDomain, isEntry, seenSinceMs, lastAwayAtMs }];
+    const { seenSinceMs, lastOutOfContactAtMs } = entry;
+    return [{ id, failureDomain, isEntry, seenSinceMs, lastOutOfContactAtMs }];
   });
 }
 
 /** A process's table of records with its own view of who holds what. */
-export function holderPlaceOf(node: SimulatedNode): HolderPlace {
+export function holderPlaceOf(node: SimulatedNode): HolderWithRepair {
   const { memory, id } = node;
   const { holder, repair } = memory;
   const holdersOfKey = (keyText: string): readonly string[] => holdersOf(memory.placement, keyText);
--- a/packages/fuzz/src/worlds/requests/mutants.ts
+++ b/packages/fuzz/src/worlds/requests/mutants.ts
@@ -21,11 +21,11 @@
   }),
   'tell-end-before-holders': (options) => ({
     ...options,
-    host: { ...options.host, mayTellEnd: always },
+    host: { ...options.host, mayReportEnd: always },
   }),
   'tell-answer-of-one-holder': (options) => ({
     ...options,
-    drive: { ...options.drive, mayTellAnswer: always },
+    drive: { ...options.drive, mayDeliverAnswer: always },
   }),
   'splice-any-text': (options) => ({
     ...options,
@@ -58,11 +58,11 @@
   'absence-assumed': (options) => ({ ...options, provesAbsence: always }),
   'suspects-with-others': (options) => ({
     ...options,
-    host: { ...options.host, leavesAlone: always },
+    host: { ...options.host, mayStartBeside: always },
   }),
   'many-lone-runs': (options) => ({
     ...options,
-    poison: { ...options.poison, mayBegin: always },
+    poison: { ...options.poison, mayBeginLoneRun: always },
   }),
   'never-convict': (options) => ({
     ...options,
--- a/packages/fuzz/src/worlds/requests/nodes.ts
+++ b/packages/fuzz/src/worlds/requests/nodes.ts
@@ -4,7 +4,7 @@
 import {
   HolderCallKind,
   HostEventKind,
-  DriveEventKind,
+  RequestEventKind,
   PoisonEventKind,
   createAggregator,
   createClaimClient,
@@ -20,11 +20,11 @@
   onRepairReply,
   scheduleRepair,
   sweepHolder,
-  takePlaced,
+  updatePlacedMembers,
   tickClaimClient,
   tickRepair,
   handleHolderCall,
-  handleHolderCallAt,
+  handleHolderCallWithRepair,
 } from '@cassiamast/coordination';
 import type { HolderCall, RequestRecord } from '@cassiamast/coordination';
 import { createProcess } from '../../kit/processes.js';
@@ -97,7 +97,7 @@
       isLive: true,
       incarnation: other.slot.incarnation,
       seenSinceMs: sinceMs,
-      lastAwayAtMs: null,
+      lastOutOfContactAtMs: null,
       lastReachedMs: Math.max(0, simulation.scheduler.nowMs),
     };
     node.memory.view.set(other.id, entry);
@@ -137,12 +137,12 @@
   const { memory } = node;
   const live = [...memory.view].filter(([, entry]) => entry.isLive);
   const present = live.map(([id, { incarnation }]) => ({ id, incarnation }));
-  const renewed = takePlaced(memory.placed, present);
+  const renewed = updatePlacedMembers(memory.placed, present);
   const { nowMs } = simulation.scheduler;
   if (renewed !== null) scheduleRepair(memory.repair, memory.holder, nowMs, renewed);
   feedHost(simulation, node, { kind: HostEventKind.MembersChanged });
   for (const drive of [...memory.drives.values()]) {
-    feedDrive(simulation, node, drive, { kind: DriveEventKind.MembersChanged });
+    feedDrive(simulation, node, drive, { kind: RequestEventKind.MembersChanged });
   }
 }
 
@@ -164,7 +164,12 @@
       node,
       to,
       (receiver) =>
-        handleHolderCallAt(holderPlaceOf(receiver), holderCall, options.holder, scheduler.nowMs),
+        handleHolderCallWithRepair(
+          holderPlaceOf(receiver),
+          holderCall,
+          options.holder,
+          scheduler.nowMs,
+        ),
       (reply) => {
         const keyText = 'record' in holderCall ? holderCall.record.keyText : holderCall.keyText;
         const restore = (copy: RequestRecord): void => {
--- a/packages/fuzz/src/worlds/requests/services.ts
+++ b/packages/fuzz/src/worlds/requests/services.ts
@@ -7,7 +7,7 @@
   ClaimClientEffectKind,
   ClaimOutcome,
   ClaimReplyKind,
-  DriveEventKind,
+  RequestEventKind,
   claimAggregatorOf,
   handleAggregatorEvent,
   onClaimReply,
@@ -59,7 +59,7 @@
     const askedBy = `${node.id}${ASK_SEPARATOR}${callId}`;
     send(simulation, node, to, (receiver) => {
       feedAggregator(simulation, receiver, {
-        kind: AggregatorEventKind.Asked,
+        kind: AggregatorEventKind.Requested,
         callId: askedBy,
         request,
       });
@@ -81,7 +81,7 @@
     [ClaimReplyKind.Unavailable]: ClaimOutcome.Unavailable,
   };
   feedDrive(simulation, node, drive, {
-    kind: DriveEventKind.ClaimReplied,
+    kind: RequestEventKind.ClaimReplied,
     askId,
     outcome: outcomes[reply.kind],
     holder: reply.holder,
--- a/packages/fuzz/src/worlds/requests/sidecar.ts
+++ b/packages/fuzz/src/worlds/requests/sidecar.ts
@@ -4,7 +4,7 @@
 import {
   HostEffectKind,
   HostEventKind,
-  handleHolderCallAt,
+  handleHolderCallWithRepair,
   handleHostEvent,
   holdersOf,
   loneRunKeyOf,
@@ -99,7 +99,11 @@
     (keyValue) => parseLoneRun(readKey(keyValue, loneRunKeyOf(SERVICE))),
     (loneRun) => {
       const stands = loneRun?.attemptId === attemptId;
-      feedHost(simulation, node, { kind: HostEventKind.LoneRunChecked, attemptId, stands });
+      feedHost(simulation, node, {
+        kind: HostEventKind.LoneRunChecked,
+        attemptId,
+        isCurrentLoneRun: stands,
+      });
     },
     () => undefined,
   );
@@ -130,7 +134,12 @@
     node,
     to,
     (receiver) =>
-      handleHolderCallAt(holderPlaceOf(receiver), holderCall, options.holder, scheduler.nowMs),
+      handleHolderCallWithRepair(
+        holderPlaceOf(receiver),
+        holderCall,
+        options.holder,
+        scheduler.nowMs,
+      ),
     (reply) => {
       feedHost(simulation, node, {
         kind: HostEventKind.HolderReplied,
--- a/packages/fuzz/src/worlds/requests/simulation.ts
+++ b/packages/fuzz/src/worlds/requests/simulation.ts
@@ -7,7 +7,7 @@
   AggregatorState,
   ClaimClientOptions,
   ClaimClientState,
-  DriveOptions,
+  RequestMachineOptions,
   EntrySessions,
   Hashing,
   HolderOptions,
@@ -22,7 +22,7 @@
   Random,
   RepairOptions,
   RepairState,
-  RequestDrive,
+  RequestMachine,
   RetryBudget,
   SuspicionTable,
 } from '@cassiamast/coordination';
@@ -35,7 +35,7 @@
 
 /** All options of the machines, guards included. */
 export interface SimulationOptions {
-  readonly drive: DriveOptions;
+  readonly drive: RequestMachineOptions;
   readonly holder: HolderOptions;
   readonly repair: RepairOptions;
   readonly host: HostOptions;
@@ -52,7 +52,7 @@
   isLive: boolean;
   incarnation: number;
   seenSinceMs: number;
-  lastAwayAtMs: number | null;
+  lastOutOfContactAtMs: number | null;
   /** Last time at which it could be reached, directly or through others. */
   lastReachedMs: number;
 }
@@ -74,7 +74,7 @@
   readonly view: Map<string, ViewEntry>;
   placement: Placement;
   readonly placed: PlacedMembers;
-  readonly drives: Map<string, RequestDrive>;
+  readonly drives: Map<string, RequestMachine>;
   driveCount: number;
   readonly sessions: EntrySessions;
   readonly budget: RetryBudget;
--- a/packages/ports/src/caller-wire/port.ts
+++ b/packages/ports/src/caller-wire/port.ts
@@ -9,7 +9,7 @@
   /** Differs for each attempt of a caller; null if the caller sent none. */
   readonly attemptId: string | null;
   /** How long the caller waits for the answer; null if the caller does not specify it. */
-  readonly patienceMs: number | null;
+  readonly remainingTimeMs: number | null;
   /** The parts of the prompt in order; empty if there are none. */
   readonly parts: readonly PromptPart[];
   /** Maximum number of tokens in the answer. */
@@ -26,13 +26,13 @@
 }
 
 /** Instructions for a target, sent in addition to the caller's headers. */
-export interface Directions {
+export interface TargetInstructions {
   /** Name of the addressed target; another target at the same address rejects the request. */
   readonly targetName: string;
   /** Remaining time until the caller stops waiting. */
-  readonly patienceMs: number;
+  readonly remainingTimeMs: number;
   /** Whether to run the prefill only and keep the KV cache for another engine. */
-  readonly readOnly: boolean;
+  readonly prefillOnly: boolean;
   /** The KV cache of a prefill on another engine to decode from; null if there is none. */
   readonly from: PromptHandle | null;
   /** `host:port` of an engine from which to fetch missing prompt parts; null if there is none. */
@@ -57,7 +57,7 @@
 }
 
 /** A response that the gateway generates itself. */
-export interface OwnAnswer {
+export interface GatewayResponse {
   readonly status: number;
   /** The response body. */
   readonly reason: string;
@@ -70,11 +70,14 @@
   readonly readinessPath: string;
   readonly readRequest: (headers: Readonly<Record<string, unknown>>) => RequestHead;
   /** Returns the caller's headers without hop-by-hop headers, plus the instructions. */
-  readonly targetHeaders: (rawHeaders: readonly string[], directions: Directions) => string[];
+  readonly targetHeaders: (
+    rawHeaders: readonly string[],
+    directions: TargetInstructions,
+  ) => string[];
   readonly readAnswer: (status: number, headers: Readonly<Record<string, string>>) => AnswerHead;
   /** Returns the target's headers without hop-by-hop headers. */
   readonly callerHeaders: (rawHeaders: readonly string[]) => string[];
-  readonly ownHeaders: (answer: OwnAnswer) => Readonly<Record<string, string>>;
+  readonly gatewayResponseHeaders: (answer: GatewayResponse) => Readonly<Record<string, string>>;
   /** Returns the KV cache handle in the response to a prefill request; null if there is none. */
   readonly readHandle: (body: Buffer) => string | null;
   /** Returns the path for the DELETE request that releases a handle. */
--- a/packages/ports/src/engine-control/port.ts
+++ b/packages/ports/src/engine-control/port.ts
@@ -29,7 +29,7 @@
   /** The engine is executing the order. */
   Accepted = 'accepted',
   /** The engine is already in the ordered state. */
-  AlreadyHolds = 'already-holds',
+  AlreadyApplied = 'already-holds',
   /** Another order is in progress, or was accepted in the meantime. */
   Conflict = 'conflict',
   /** The engine has seen a higher fencing token. */
@@ -52,7 +52,7 @@
 export interface EngineControlPort {
   /** Sets the listener for all responses. There is one listener at a time. */
   readonly onAnswer: (listener: (target: TargetEntry, answered: AnsweredCall) => void) => void;
-  readonly readStanding: (target: TargetEntry) => ResultAsync<EngineStatus, Failure>;
+  readonly readStatus: (target: TargetEntry) => ResultAsync<EngineStatus, Failure>;
   /** Returns the prompt parts in its cache. Slows the engine briefly; not for regular use. */
   readonly readCache: (target: TargetEntry) => ResultAsync<readonly PromptPart[], Failure>;
   readonly orderPhase: (
--- a/packages/ports/src/engine/client.ts
+++ b/packages/ports/src/engine/client.ts
@@ -8,7 +8,7 @@
 import type { JsonObject } from '../http/json.js';
 import { asText, parseJsonObject } from '../http/json.js';
 import type { HttpRequest } from '../http/transport.js';
-import { createHttpTransport, isTrouble } from '../http/transport.js';
+import { createHttpTransport, isExchangeFailure } from '../http/transport.js';
 import { statusFailure, troubleFailure } from './errors.js';
 import { ENGINE_PROTOCOL } from './failures.js';
 import type { EnginePort, EngineStream, EngineStreamHandlers } from './port.js';
@@ -66,7 +66,7 @@
       timeoutMs: callTimeoutMs,
       maxAnswerBytes: MAX_ANSWER_BYTES,
     });
-    if (isTrouble(outcome)) return err(troubleFailure(context, outcome));
+    if (isExchangeFailure(outcome)) return err(troubleFailure(context, outcome));
     const text = outcome.body.toString('utf8');
     if (outcome.status >= 300) return err(statusFailure(context, outcome.status, text));
     const body = parseJsonObject(text);
--- a/packages/ports/src/engine/errors.ts
+++ b/packages/ports/src/engine/errors.ts
@@ -5,7 +5,7 @@
 import type { Failure } from '@cassiamast/coordination';
 import type { JsonObject } from '../http/json.js';
 import { asNumber, asObject, asText, parseJsonObject } from '../http/json.js';
-import type { Trouble } from '../http/transport.js';
+import type { ExchangeFailure } from '../http/transport.js';
 import * as failures from './failures.js';
 
 /** Error codes of the engine. */
@@ -30,7 +30,7 @@
 }
 
 /** Returns the failure for an exchange that failed without a complete response. */
-export function troubleFailure(context: CallContext, trouble: Trouble): Failure {
+export function troubleFailure(context: CallContext, trouble: ExchangeFailure): Failure {
   const failureKind = trouble.mayHaveRun
     ? failures.ENGINE_ANSWER_LOST
     : failures.ENGINE_UNREACHABLE;
--- a/packages/ports/src/engine/stream.ts
+++ b/packages/ports/src/engine/stream.ts
@@ -76,7 +76,7 @@
       if (status !== 200) fail(statusFailure(context, status, errorText));
       else fail(ENGINE_ANSWER_LOST.of(failureData('the stream ended before its last event')));
     },
-    onTrouble: (trouble) => {
+    onFailure: (trouble) => {
       fail(troubleFailure(context, trouble));
     },
   });
--- a/packages/ports/src/fleet/port.ts
+++ b/packages/ports/src/fleet/port.ts
@@ -8,26 +8,29 @@
 import type { LeaseStore } from '../key-value/port.js';
 
 /** An entry whose value does not have the form that its key requires; another program wrote it. */
-export interface EntryFault {
+export interface InvalidEntry {
   readonly key: string;
 }
 
 /** Fleet changes up to a revision of the store. */
-export interface FleetReading {
+export interface FleetChangeBatch {
   readonly changes: readonly FleetChange[];
-  readonly faults: readonly EntryFault[];
+  readonly faults: readonly InvalidEntry[];
   readonly revision: number;
 }
 
 /** Calls to the fleet store. None of them retries. */
 export interface FleetPort extends LeaseStore {
   /** Returns the whole fleet in the form of changes. */
-  readonly list: () => ResultAsync<FleetReading, Failure>;
+  readonly list: () => ResultAsync<FleetChangeBatch, Failure>;
   /**
    * Long poll: returns the changes after a revision as soon as there are any, at the latest after
    * `waitMs`. Fails with FLEET_HISTORY_GONE if the store no longer has them; `list` is needed then.
    */
-  readonly changesAfter: (revision: number, waitMs: number) => ResultAsync<FleetReading, Failure>;
+  readonly changesAfter: (
+    revision: number,
+    waitMs: number,
+  ) => ResultAsync<FleetChangeBatch, Failure>;
   /** Registers this gateway until the lease expires. */
   readonly announce: (gateway: GatewayEntry, leaseId: string) => ResultAsync<null, Failure>;
   /** Publishes crash notes to all gateways until the lease expires. */
@@ -36,6 +39,6 @@
     leaseId: string,
   ) => ResultAsync<null, Failure>;
   /** Deletes published crash notes. */
-  readonly forgetCrashes: (crashes: readonly CrashNote[]) => ResultAsync<null, Failure>;
+  readonly deleteCrashes: (crashes: readonly CrashNote[]) => ResultAsync<null, Failure>;
   readonly close: () => Promise<void>;
 }
--- a/packages/ports/src/http/transport.ts
+++ b/packages/ports/src/http/transport.ts
@@ -14,7 +14,7 @@
 const KEEP_ALIVE_MARGIN_MS = 500;
 
 /** Kinds of failed exchanges. */
-export enum TroubleKind {
+export enum ExchangeFailureKind {
   /** No connection could be established. */
   Unreachable = 'unreachable',
   /** The connection failed before the response was complete. */
@@ -29,8 +29,8 @@
  * A failed exchange. `mayHaveRun` is false only if no byte of the request was sent; otherwise the
  * server may have run the request.
  */
-export interface Trouble {
-  readonly kind: TroubleKind;
+export interface ExchangeFailure {
+  readonly kind: ExchangeFailureKind;
   readonly mayHaveRun: boolean;
   readonly detail: string;
 }
@@ -46,13 +46,13 @@
 }
 
 /** A complete, buffered response. Header names are lower case. */
-export interface HttpAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Buffer;
 }
 
-/** Callbacks for a streamed response. The last call is either `onEnd` or `onTrouble`, once. */
+/** Callbacks for a streamed response. The last call is either `onEnd` or `onFailure`, once. */
 export interface HttpStreamHandlers {
   /** The first byte is about to be sent; before this call nothing can have reached the server. */
   readonly onSent?: () => void;
@@ -64,7 +64,7 @@
   ) => void;
   readonly onData: (chunk: Buffer) => void;
   readonly onEnd: () => void;
-  readonly onTrouble: (trouble: Trouble) => void;
+  readonly onFailure: (trouble: ExchangeFailure) => void;
 }
 
 /** Controls a streamed response. No handler is called after `stop`. */
@@ -79,14 +79,16 @@
   readonly exchange: (
     request: HttpRequest,
     limits: { readonly timeoutMs: number; readonly maxAnswerBytes: number },
-  ) => Promise<HttpAnswer | Trouble>;
+  ) => Promise<HttpResponse | ExchangeFailure>;
   readonly stream: (request: HttpRequest, handlers: HttpStreamHandlers) => HttpStream;
   /** Closes all connections; exchanges in flight fail. */
   readonly close: () => Promise<void>;
 }
 
 /** Returns whether an exchange failed. */
-export function isTrouble(outcome: HttpAnswer | Trouble): outcome is Trouble {
+export function isExchangeFailure(
+  outcome: HttpResponse | ExchangeFailure,
+): outcome is ExchangeFailure {
   return 'kind' in outcome;
 }
 
@@ -172,19 +174,19 @@
   resetWatch: ResetWatch,
   request: HttpRequest,
   limits: { readonly timeoutMs: number; readonly maxAnswerBytes: number },
-): Promise<HttpAnswer | Trouble> {
+): Promise<HttpResponse | ExchangeFailure> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
     let receivedBytes = 0;
     let status = 0;
     let headers: Readonly<Record<string, string>> = {};
     let sent = false;
-    const finish = (outcome: HttpAnswer | Trouble): void => {
+    const finish = (outcome: HttpResponse | ExchangeFailure): void => {
       isOver = true;
       clearTimeout(timer);
       resolve(outcome);
     };
-    const abort = (kind: TroubleKind, detail: string): void => {
+    const abort = (kind: ExchangeFailureKind, detail: string): void => {
       finish({ kind, mayHaveRun: sent, detail });
       running.stop();
     };
@@ -195,7 +197,10 @@
     const timer = setTimeout(() => {
       setImmediate(() => {
         if (isOver) return;
-        abort(TroubleKind.TimedOut, `no whole answer within ${String(limits.timeoutMs)} ms`);
+        abort(
+          ExchangeFailureKind.TimedOut,
+          `no whole answer within ${String(limits.timeoutMs)} ms`,
+        );
       });
     }, limits.timeoutMs);
     const running = dispatch(agent, resetWatch, request, {
@@ -209,13 +214,13 @@
       onData: (chunk) => {
         receivedBytes += chunk.length;
         if (receivedBytes > limits.maxAnswerBytes)
-          abort(TroubleKind.TooLarge, `over ${String(receivedBytes)} B`);
+          abort(ExchangeFailureKind.TooLarge, `over ${String(receivedBytes)} B`);
         else chunks.push(chunk);
       },
       onEnd: () => {
         finish({ status, headers, body: Buffer.concat(chunks) });
       },
-      onTrouble: finish,
+      onFailure: finish,
     });
   });
 }
@@ -225,7 +230,7 @@
   readonly onStart: HttpStreamHandlers['onStart'];
   readonly onData: (chunk: Buffer) => void;
   readonly onEnd: () => void;
-  readonly onTrouble: (trouble: Trouble) => void;
+  readonly onFailure: (trouble: ExchangeFailure) => void;
 }
 
 function dispatch(
@@ -242,8 +247,8 @@
     stopped = true;
     // undici calls onRequestStart before it writes; without that call no byte has been sent.
     const mayHaveRun = controller !== null;
-    const kind = mayHaveRun ? TroubleKind.Broken : TroubleKind.Unreachable;
-    handlers.onTrouble({ kind, mayHaveRun, detail: error.message });
+    const kind = mayHaveRun ? ExchangeFailureKind.Broken : ExchangeFailureKind.Unreachable;
+    handlers.onFailure({ kind, mayHaveRun, detail: error.message });
   };
   agent.dispatch(
     {
--- a/packages/ports/src/key-value/client.ts
+++ b/packages/ports/src/key-value/client.ts
@@ -8,8 +8,8 @@
 import { err, ok, ResultAsync } from 'neverthrow';
 import type { JsonObject } from '../http/json.js';
 import { asNumber, asObject, asText, parseJsonObject } from '../http/json.js';
-import type { HttpRequest, Trouble } from '../http/transport.js';
-import { createHttpTransport, isTrouble } from '../http/transport.js';
+import type { HttpRequest, ExchangeFailure } from '../http/transport.js';
+import { createHttpTransport, isExchangeFailure } from '../http/transport.js';
 import {
   KEY_VALUE_ANSWER_LOST,
   KEY_VALUE_LEASE_GONE,
@@ -77,7 +77,7 @@
       timeoutMs,
       maxAnswerBytes: MAX_ANSWER_BYTES,
     });
-    if (isTrouble(outcome)) {
+    if (isExchangeFailure(outcome)) {
       if (!outcome.mayHaveRun) useNextEndpoint();
       return err(troubleFailure(path, origin, outcome));
     }
@@ -102,8 +102,8 @@
   return {
     get: getWithin(callTimeoutMs),
     list: listWithin(callTimeoutMs),
-    getLate: getWithin(lateTimeoutMs),
-    listLate: listWithin(lateTimeoutMs),
+    getWithLongTimeout: getWithin(lateTimeoutMs),
+    listWithLongTimeout: listWithin(lateTimeoutMs),
     transact: (compares, writes) =>
       call('/v3/kv/txn', wire.transactionBody(compares, writes)).map((answer) => ({
         succeeded: answer.succeeded === true,
@@ -149,7 +149,7 @@
   };
 }
 
-function troubleFailure(call: string, endpoint: string, trouble: Trouble): Failure {
+function troubleFailure(call: string, endpoint: string, trouble: ExchangeFailure): Failure {
   const { mayHaveRun, detail } = trouble;
   const failureKind = mayHaveRun ? KEY_VALUE_ANSWER_LOST : KEY_VALUE_UNREACHABLE;
   return failureKind.of({ call, endpoint, mayHaveRun, detail });
--- a/packages/ports/src/key-value/port.ts
+++ b/packages/ports/src/key-value/port.ts
@@ -65,8 +65,8 @@
    * still useful. Not for decisions that depend on the current state, such as whether a lease is
    * still held.
    */
-  readonly getLate: KeyValuePort['get'];
-  readonly listLate: KeyValuePort['list'];
+  readonly getWithLongTimeout: KeyValuePort['get'];
+  readonly listWithLongTimeout: KeyValuePort['list'];
   readonly transact: (
     compares: readonly KeyValueCompare[],
     writes: readonly KeyValueWrite[],
--- a/packages/ports/src/key-value/watch.ts
+++ b/packages/ports/src/key-value/watch.ts
@@ -94,7 +94,7 @@
       onEnd: () => {
         options.onEnd(KEY_VALUE_WATCH_ENDED.of(failureData('the service closed the watch')));
       },
-      onTrouble: (trouble) => {
+      onFailure: (trouble) => {
         if (!trouble.mayHaveRun) options.useNextEndpoint();
         options.onEnd(KEY_VALUE_WATCH_ENDED.of(failureData(trouble.detail)));
       },
--- a/packages/ports/src/plain-service/client.ts
+++ b/packages/ports/src/plain-service/client.ts
@@ -6,7 +6,7 @@
 import type { Failure } from '@cassiamast/coordination';
 import type { Result } from 'neverthrow';
 import type { HttpRequest, HttpTransport } from '../http/transport.js';
-import { createHttpTransport, isTrouble } from '../http/transport.js';
+import { createHttpTransport, isExchangeFailure } from '../http/transport.js';
 import { PLAIN_SERVICE_ANSWER_LOST, PLAIN_SERVICE_UNREACHABLE } from './failures.js';
 import type { PlainRequest, PlainResponse, PlainServicePort } from './port.js';
 
@@ -65,7 +65,7 @@
     timeoutMs: request.timeoutMs,
     maxAnswerBytes,
   });
-  if (isTrouble(outcome)) {
+  if (isExchangeFailure(outcome)) {
     const { mayHaveRun, detail } = outcome;
     const failureKind = mayHaveRun ? PLAIN_SERVICE_ANSWER_LOST : PLAIN_SERVICE_UNREACHABLE;
     return err(failureKind.of({ requestId: request.requestId, address, mayHaveRun, detail }));
--- a/packages/ports/src/vm-list/client.ts
+++ b/packages/ports/src/vm-list/client.ts
@@ -6,7 +6,7 @@
 import { err, ok, ResultAsync } from 'neverthrow';
 import { asList, asMember, asNumber, asObject, asText, parseJsonObject } from '../http/json.js';
 import type { HttpTransport } from '../http/transport.js';
-import { createHttpTransport, isTrouble } from '../http/transport.js';
+import { createHttpTransport, isExchangeFailure } from '../http/transport.js';
 import { VM_LIST_UNAVAILABLE } from './failures.js';
 import type { VmListing, VmListPort } from './port.js';
 import { VmState } from './port.js';
@@ -52,7 +52,7 @@
   );
   const unavailable = (detail: string) =>
     err(VM_LIST_UNAVAILABLE.of({ address, mayHaveRun: false, detail }));
-  if (isTrouble(outcome)) return unavailable(outcome.detail);
+  if (isExchangeFailure(outcome)) return unavailable(outcome.detail);
   if (outcome.status !== 200) return unavailable(`status ${String(outcome.status)}`);
   const body = parseJsonObject(outcome.body.toString('utf8'));
   if (body === null) return unavailable('the body is not a JSON object');
--- a/packages/ports/src/weight-store/client.ts
+++ b/packages/ports/src/weight-store/client.ts
@@ -6,7 +6,7 @@
 import { err, ok, ResultAsync } from 'neverthrow';
 import { asNumber, parseJsonObject } from '../http/json.js';
 import type { HttpTransport } from '../http/transport.js';
-import { createHttpTransport, isTrouble } from '../http/transport.js';
+import { createHttpTransport, isExchangeFailure } from '../http/transport.js';
 import { WEIGHT_STORE_UNAVAILABLE } from './failures.js';
 import type { WeightStorePort, WeightStoreStatus } from './port.js';
 
@@ -50,7 +50,7 @@
   );
   const unavailable = (detail: string) =>
     err(WEIGHT_STORE_UNAVAILABLE.of({ address, mayHaveRun: false, detail }));
-  if (isTrouble(outcome)) return unavailable(outcome.detail);
+  if (isExchangeFailure(outcome)) return unavailable(outcome.detail);
   if (outcome.status !== 200) return unavailable(`status ${String(outcome.status)}`);
   const body = parseJsonObject(outcome.body.toString('utf8'));
   if (body === null) return unavailable('the body is not a JSON object');
